--- a/src/coordination/choice/cold_replica_limiter.cc
+++ b/src/coordination/choice/cold_replica_limiter.cc
@@ -36,7 +36,7 @@
   return it == services_.end() ? nullptr : &it->second;
 }
 
-// A replica in a failure domain that was taken back may have started again
+// A replica in a failure domain whose evacuation ended may have started again
 // while it was empty, and its row may not say so yet.
 TimeUs ColdReplicaLimiter::ColdUntil(const ReplicaEntry& replica,
                                      const Limits& limits) const {
--- a/src/coordination/choice/cold_replica_limiter.h
+++ b/src/coordination/choice/cold_replica_limiter.h
@@ -1,15 +1,15 @@
 // Bounds what a replica gets in a second while it is cold, over all gateways
 // together.
 //
-// Failure: a replica starts, or a failure domain is taken back, and is idle
-// while all others are busy. Symptom: every gateway sends it the next request,
-// and it crashes under a rate that it stands when it is warm. The bound is
-// divided among the gateways without messages, in whole requests: all have an
-// equal part, or, where there are more gateways than requests, those with the
-// highest hash of (replica, gateway) have one each. A request takes its part
-// from when it is sent until a second after the replica's first answer, or
-// after its end, so that those of one gateway never arrive closer together than
-// counted, however long each was on its way.
+// Failure: a replica starts, or the evacuation of its domain ends, and it is
+// idle while all others are busy. Symptom: every gateway sends it the next
+// request, and it crashes under a rate that it stands when it is warm. The
+// bound is divided among the gateways without messages, in whole requests: all
+// have an equal part, or, where there are more gateways than requests, those
+// with the highest hash of (replica, gateway) have one each. A request takes
+// its part from when it is sent until a second after the replica's first
+// answer, or after its end, so that those of one gateway never arrive closer
+// together than counted, however long each was on its way.
 //
 // Views differ: gateways come, go, and are cut off from one another. One counts
 // for an hour after it was last heard, so that two halves of a cut do not each
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -25,8 +25,9 @@
 constexpr double kLateShare = 0.35;
 
 // A parked request begins when the queues are this short, one each step a
-// gateway: what the batching gateways tell of their queues is as old as a beat.
-// One is parked if its turn is expected within this share of its time.
+// gateway: what the batching gateways tell of their queues is as old as a
+// heartbeat. One is parked if its turn is expected within this share of its
+// time.
 constexpr DurationUs kParkedWait = 500 * kMillisecond;
 constexpr DurationUs kParkedStep = 100 * kMillisecond;
 constexpr double kParkedShare = 0.6;
@@ -46,7 +47,7 @@
 // Failure: a key is taken away while this entry cannot hear of it. Symptom: a
 // request runs under a key that its owner was told is void. A key counts only
 // while the configuration was confirmed within `key_age`, by a clock that goes
-// on while the host is suspended, and from when the question was sent.
+// on while the host is suspended, and from when the request for it was sent.
 bool Gateway::Impl::Current() const {
   return confirmed_at >= 0 && output->Now() - confirmed_at <= options.key_age;
 }
@@ -73,7 +74,7 @@
 }
 
 // Load pattern: the store turns some hosts away, or all of them, for seconds.
-// Clients retry once or twice. If another entry is current, which a new
+// Clients retry once or twice. If another entry may check keys, which a new
 // connection most likely reaches, they are served when they come at once. If
 // none is, whoever comes back in a second is refused again and has used up its
 // tries; the longest wait that clients honour, a third of their time, gives the
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -318,9 +318,9 @@
 }
 
 // Failure: a replica crashes behind a cut and starts again under its name.
-// Symptom: what was sent to the life before waits for an answer until its
-// deadline, because nothing closes the connection. That life may have run it,
-// and nothing will come of it any more.
+// Symptom: what was sent to the previous incarnation waits for an answer until
+// its deadline, because nothing closes the connection. That incarnation may
+// have run it, and nothing will come of it any more.
 void Gateway::Impl::FailAttemptsAt(const ReplicaId& replica) {
   std::vector<CallId> calls;
   for (const auto& [call, request] : by_call) {
--- a/src/coordination/gateway/gateway_stages.cc
+++ b/src/coordination/gateway/gateway_stages.cc
@@ -1,4 +1,4 @@
-// The stages of one request: orders for pieces, and what their results lead to.
+// The stages of one request: tasks for pieces, and what their results lead to.
 #include <algorithm>
 #include <map>
 
@@ -113,7 +113,7 @@
   StartAttempt(request);
 }
 
-// Results live a few seconds and end with their maker; the stages are made
+// Results live a few seconds and end with their producer; the stages are made
 // again when one is gone, as long as the request has time for it.
 void Gateway::Impl::RestartStages(ServingRequest* request,
                                   std::string_view why) {
--- a/src/coordination/membership/gateway_join.h
+++ b/src/coordination/membership/gateway_join.h
@@ -2,7 +2,7 @@
 // platform's store when it starts, and reads those of the others.
 //
 // Writing comes before reading, so of two that start together at least one
-// reads the other, and its beats tell the other of it. The key that frames
+// reads the other, and its heartbeats tell the other of it. The key that frames
 // between gateways carry lies in the same table; the first gateway ever draws
 // it and writes it on the condition that there is none.
 //
--- a/src/coordination/membership/gateway_peers.cc
+++ b/src/coordination/membership/gateway_peers.cc
@@ -37,7 +37,7 @@
     peer.restarted = true;
   }
   if (heartbeat.requests_reply || peer.incarnation != incarnation) {
-    peer.promised = 0;  // It waits for this one's beat, or never had one.
+    peer.promised = 0;  // It waits for this one's heartbeat, or never had one.
   }
   peer.incarnation = incarnation;
   peer.heard_at = now;
@@ -91,7 +91,7 @@
               {{"for_ms", (paused + kLongestTurn) / kMillisecond}});
   for (auto& [node, peer] : peers_) {
     if (peer.live) {
-      // A beat may have been read since this process goes on.
+      // A heartbeat may have been read since this process goes on.
       peer.heard_at = std::min(now, peer.heard_at + paused);
     }
   }
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -28,7 +28,7 @@
 
 namespace acaciachute {
 
-// A beat that is due to `node`, which may count on the next one within
+// A heartbeat that is due to `node`, which may count on the next one within
 // `promise`.
 struct DueHeartbeat {
   NodeId node;
@@ -37,24 +37,25 @@
 
 class GatewayPeers {
  public:
-  // A beat is under 1 KB; at five gateways that is 20 KB/s a host.
+  // A heartbeat is under 1 KB; at five gateways that is 20 KB/s a host.
   static constexpr DurationUs kGatewayHeartbeatPeriod = 150 * kMillisecond;
   // Load pattern: each gateway tells all others, so what a host receives grows
-  // with their number; at 29 a tenth of a core went on beats. Up to this many
-  // peers all beat every `kGatewayHeartbeatPeriod`. With more, only those that
-  // batch for others do and the rest in proportion less often: nobody waits for
-  // these.
+  // with their number; at 29 a tenth of a core went on heartbeats. Up to this
+  // many peers all send one every `kGatewayHeartbeatPeriod`. With more, only
+  // those that batch for others do and the rest in proportion less often:
+  // nobody waits for these.
   static constexpr std::size_t kPeersAtFullRate = 6;
-  // Four beats: with a thirtieth of the datagrams lost, a live gateway is taken
-  // for dead once in a million beats. Longer for those that beat less often.
+  // Four heartbeats: with a thirtieth of the datagrams lost, a live gateway is
+  // taken for dead once in a million heartbeats. Longer for those that send
+  // them less often.
   static constexpr DurationUs kSilent = 650 * kMillisecond;
-  // Two beats missed: the gateway is asked for one, three times until it is
-  // taken for dead. Like the direct probe of SWIM (Das, Gupta and Motivala
+  // Two heartbeats missed: the gateway is asked for one, three times until it
+  // is taken for dead. Like the direct probe of SWIM (Das, Gupta and Motivala
   // 2002); others are not asked whether they hear it, because their word would
   // not carry pieces to it.
   static constexpr DurationUs kSuspect = 400 * kMillisecond;
   static constexpr DurationUs kAskAgain = (kSilent - kSuspect) / 3;
-  // Longer than a beat may have been on its way.
+  // Longer than a heartbeat may have been on its way.
   static constexpr DurationUs kUnreachable = 300 * kMillisecond;
   // Between two looks, on a host that is short of its processor. What is beyond
   // it, this process did not run.
@@ -78,9 +79,9 @@
                           Incarnation incarnation,
                           const GatewayHeartbeat& heartbeat);
   // No connection could be made to it. It is taken for dead at once, until a
-  // beat that comes `kUnreachable` later: a killed process refuses connections
-  // long before its silence tells, and trying it again in a loop would use up
-  // this process's time.
+  // heartbeat that comes `kUnreachable` later: a killed process refuses
+  // connections long before its silence tells, and trying it again in a loop
+  // would use up this process's time.
   void OnUnreachable(TimeUs now, const NodeId& node);
   // All that may send work by what is known, this one included and sorted:
   // those heard within `kRemember`, whatever became of them since, and those
@@ -89,23 +90,24 @@
   // Call it before each look at who is lost, every 30 ms.
   //
   // Failure: this process is suspended and goes on. Symptom: all others seem
-  // silent until their next beats, and what they had in hand is done again. So
-  // nobody's silence is counted while this process did not run.
+  // silent until their next heartbeats, and what they had in hand is done
+  // again. So nobody's silence is counted while this process did not run.
   void OnTick(TimeUs now);
   // Gateways that fell silent or restarted since the last call: what they had
   // is lost.
   std::vector<NodeId> TakeLost(TimeUs now);
-  // How often this gateway beats; `batches` tells whether others hand it
-  // pieces.
+  // How often this gateway sends heartbeats; `batches` tells whether others
+  // hand it pieces.
   DurationUs Period(bool batches) const;
-  // Those that a beat is due to now. A period that grows is told in a beat that
-  // comes as early as the one before promised.
+  // Those that a heartbeat is due to now. A period that grows is told in a
+  // heartbeat that comes as early as the one before promised.
   //
-  // Failure: a gateway beats less often without having said so, or hears its
-  // peers less often because they hold it for silent. Symptom: among many live
-  // gateways, hosts with nothing to batch take those that batch for silent
-  // again and again and hand themselves their pieces, and so on in a circle.
-  // Each promise is to one gateway and is kept, so silence means a loss.
+  // Failure: a gateway sends heartbeats less often without having said so, or
+  // hears its peers less often because they hold it for silent. Symptom: among
+  // many live gateways, hosts with nothing to batch take those that batch for
+  // silent again and again and hand themselves their pieces, and so on in a
+  // circle. Each promise is to one gateway and is kept, so silence means a
+  // loss.
   std::vector<DueHeartbeat> DueHeartbeats(TimeUs now, DurationUs period);
   // Those that must tell at once whether they live.
   std::vector<DueHeartbeat> DueProbes(TimeUs now);
--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -358,7 +358,7 @@
   }
 }
 
-// The results of a lost answer lie at their maker, under handles that nobody
+// The results of a lost answer lie at their producer, under handles that nobody
 // knows, until it forgets them.
 void PieceBatcher::HoldLost(TimeUs now, const Call& call) {
   // No handle that a replica gives begins like this.
--- a/src/coordination/stages/piece_batcher.h
+++ b/src/coordination/stages/piece_batcher.h
@@ -82,7 +82,7 @@
                       const std::vector<std::string>& handles) = 0;
   // Every piece that needs these results is being made and has read them.
   virtual void OnInputsRead(const std::vector<std::string>& handles) = 0;
-  // Whether the makers of these results are short of memory for others.
+  // Whether the producers of these results are short of memory for others.
   virtual bool ShortOfMemory(const std::vector<std::string>& handles) = 0;
 };
 
@@ -105,8 +105,8 @@
   // time that its request has to spare, within these bounds.
   static constexpr DurationUs kNearPatience = 80 * kMillisecond;
   static constexpr DurationUs kMostNearPatience = 300 * kMillisecond;
-  // Load pattern: in a burst, results fill the memory of their makers, some of
-  // them only because the next stage is at work on them. A call reads its
+  // Load pattern: in a burst, results fill the memory of their producers, some
+  // of them only because the next stage is at work on them. A call reads its
   // inputs before its work; after this share of the fixed part of a call they
   // are let go. The price: when a piece of that call fails then, its request's
   // stages begin again. So they are let go only where memory is short.
@@ -134,13 +134,13 @@
   void Dispatch(TimeUs now);
   // Nobody waits for the request's pieces any longer.
   void Drop(const std::string& request);
-  // Results that nobody needs any longer; told to their makers with the next
-  // tick, those of one maker together.
+  // Results that nobody needs any longer; told to their producers with the next
+  // tick, those of one producer together.
   void Free(const std::vector<std::string>& handles);
   void OnCallEnd(TimeUs now, BatchId id, const PieceCallEnd& end);
   void OnReplicaGone(TimeUs now, const ReplicaId& replica);
-  // That life of the replica is over: what it was asked for is made elsewhere
-  // at once, instead of when the calls are overdue.
+  // That incarnation of the replica is over: what it was asked for is made
+  // elsewhere at once, instead of when the calls are overdue.
   void OnReplicaRestarted(TimeUs now, const ReplicaId& replica);
   // Calls what is due; call it every 10 ms and after other changes.
   void OnTick(TimeUs now);
--- a/src/coordination/stages/shared_piece_dispatcher.h
+++ b/src/coordination/stages/shared_piece_dispatcher.h
@@ -2,7 +2,7 @@
 //
 // Failure: that gateway dies, freezes, restarts or is cut off with pieces in
 // hand. Symptom: requests wait until their deadlines for pieces that nobody
-// makes. Orders are kept until their results are here, and handed to the next
+// makes. Tasks are kept until their results are here, and handed to the next
 // gateway as soon as the first one is lost, or when no result came in
 // `kPatience`; a piece that is then made twice costs only its time, and the
 // second result is freed.
@@ -50,7 +50,7 @@
   // Whether the service that made these results holds more than `kShort` of its
   // memory for results.
   bool ShortOfMemory(const std::vector<std::string>& handles) const;
-  // Below it each replica has room for as much again as it holds.
+  // Below it each replica has memory for as much again as it holds.
   static constexpr double kShort = 0.5;
 
   // A piece that this gateway's batchers made, or could not make.
--- a/src/coordination/stages/stage_replicas.h
+++ b/src/coordination/stages/stage_replicas.h
@@ -21,8 +21,8 @@
   // that is well again is found by one call.
   static constexpr DurationUs kShun = 400 * kMillisecond;
   static constexpr DurationUs kMostShun = 3200 * kMillisecond;
-  // After a replica had no room although the account here says so: another
-  // gateway's batcher filled it, and its results go as they are used.
+  // After a replica had no memory left although the account here says so:
+  // another gateway's batcher filled it, and its results go as they are used.
   static constexpr DurationUs kFullFor = 300 * kMillisecond;
   // Weight of the newest call in a replica's slowness, and the time after which
   // an old observation counts by 1/e.
@@ -56,7 +56,7 @@
     return directory_->Of(service_);
   }
 
-  // Of the maker of a result.
+  // Of the producer of a result.
   bool InEvacuatedDomain(const std::string& handle) const;
 
   // That take a call now, the fastest first.
@@ -102,13 +102,13 @@
     TimeUs shunned_until = 0;
     DurationUs shun = kShun;
     TimeUs free_at = 0;
-    TimeUs full_until = 0;         // It had no room, by results not known here.
+    TimeUs full_until = 0;  // It had no memory left, by results not known here.
     std::uint64_t held_bytes = 0;  // Results there, and those being made.
   };
   struct Held {
     ReplicaId producer;
     std::uint64_t bytes = 0;
-    TimeUs until = 0;  // Its maker forgets it by then.
+    TimeUs until = 0;  // Its producer forgets it by then.
   };
 
   static double SlownessOf(TimeUs now, const ReplicaState& state);
--- a/src/coordination/tables/freshness_plan.h
+++ b/src/coordination/tables/freshness_plan.h
@@ -29,12 +29,12 @@
   DurationUs store_in_time = 0;
   // A store that does not answer is asked again after this at the latest.
   DurationUs store_again = 0;
-  // Between questions while nobody answers them. A store that is due to be
-  // asked again is asked all the same.
+  // Between requests while nobody answers them. A store that is due to be asked
+  // again is asked all the same.
   DurationUs most_pause = 0;
 
   // The waits of gateways that work: they keep every age below `ask_store`.
-  // How long the store holds a question without news.
+  // How long the store holds a request without news.
   DurationUs store_wait = 0;
   // After news, so that rows which change together come in one answer.
   DurationUs settle = 0;
--- a/src/coordination/tables/remote_clock.h
+++ b/src/coordination/tables/remote_clock.h
@@ -1,6 +1,6 @@
 // Where a moment of another process's steady clock lies on this host's clock.
 //
-// A question sent at S and answered with the other's time T shows that T came
+// A request sent at S and answered with the other's time T shows that T came
 // after S. So S - T bounds the difference of the clocks from below, and the
 // largest bound is the best: that of an answer which came at once. An answer
 // that the other held for a while then tells when it was given, not just when
--- a/src/coordination/tables/store_requests.h
+++ b/src/coordination/tables/store_requests.h
@@ -1,9 +1,9 @@
 // What the store was asked for one table and has not answered yet.
 //
-// Failure: the store answers everything, but late, or a question is lost with
+// Failure: the store answers everything, but late, or a request is lost with
 // its connection. Symptom: a host that hears only one answer at a time either
 // gives up a slow store, whose answers it never takes, or asks again only when
-// the lost question's time is over. So a question is no longer awaited after
+// the lost request's time is over. So a request is no longer awaited after
 // `FreshnessPlan::store_in_time`, or when a newer one takes its place, but its
 // answer is taken until `kHeard`.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
@@ -62,7 +62,7 @@
 
   // In place of the one that is awaited, if there is one.
   void Ask(TimeUs now, TableQuery query);
-  // The question that this is the answer to; none when it was forgotten.
+  // The request that this is the answer to; none when it was forgotten.
   std::optional<Sent> Take(std::uint64_t id);
   // The one that is awaited; null when there is none.
   const Sent* Awaited() const;
--- a/src/coordination/tables/table_relay.h
+++ b/src/coordination/tables/table_relay.h
@@ -1,4 +1,4 @@
-// Answers other gateways' questions for a table of the store from what this one
+// Answers other gateways' requests for a table of the store from what this one
 // knows of it.
 //
 // Load pattern: a hundred gateways follow two tables of the store. Asking it
@@ -7,9 +7,9 @@
 // pass on what changed make that a few; `TableSource` says who asks whom.
 //
 // An answer never says that something is newer than it is: it carries the time
-// between the question's arrival and the moment at which this gateway's own
-// question to the store was sent, by this gateway's clock, so the asker counts
-// from its own question. Passing on through several gateways only makes it
+// between the request's arrival and the moment at which this gateway's own
+// request to the store was sent, by this gateway's clock, so the asker counts
+// from its own request. Passing on through several gateways only makes it
 // older.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_RELAY_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_RELAY_H_
@@ -35,7 +35,7 @@
 
 class TableRelay {
  public:
-  // A question without news is answered after this, so that its asker knows
+  // A request without news is answered after this, so that its asker knows
   // within a second that this gateway lives.
   static constexpr DurationUs kMostHeld = 600 * kMillisecond;
   // An asker whose knowledge is older than this one's by more is told at once.
@@ -71,7 +71,7 @@
   bool CanAnswer(const TableRequest& it) const;
   bool AnswersAtOnce(const Held& held) const;
   void Reply(const Held& held, TableAnswer answer);
-  // All that is newer than the question asks for.
+  // All that is newer than the request asks for.
   TableAnswer News(const Held& held) const;
   // That there was no news, or that the store is lost here.
   TableAnswer WhenHeldLong(const Held& held) const;
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -200,7 +200,7 @@
          (question_.state == State::kFailed && question_.query.from.empty());
 }
 
-// A relay may have answered the question that this one was; what changed since
+// A relay may have answered the request that this one was; what changed since
 // then is in the answer too.
 bool TableSource::Fits(const StoreRequests::Sent& sent,
                        const TableAnswer& answer) const {
@@ -274,7 +274,7 @@
     Fail(now, answer);
     return;
   }
-  AskPeer(now);  // Which may hold the question until the store is back.
+  AskPeer(now);  // Which may hold the request until the store is back.
   if (peer_call_.peer.empty()) {
     AskStore(now);
   }
--- a/src/coordination/tables/table_source.h
+++ b/src/coordination/tables/table_source.h
@@ -1,11 +1,11 @@
 // Whom this gateway asks for a table: the store, or a gateway that follows it.
 //
-// Of each failure domain one gateway in `RelayPlan::kFollowersARelay` asks
-// the store, the others ask that one, or one of another domain when theirs does
-// not answer, and the store itself when several do not. All gateways answer
-// each other's questions (see `TableRelay`), so it does no harm when two
-// disagree about who asks whom: answers carry their age, and one that gets old
-// is given up like one that is silent.
+// Of each failure domain one gateway in `RelayPlan::kFollowersARelay` asks the
+// store, the others ask that one, or one of another domain when theirs does not
+// answer, and the store itself when several do not. All gateways answer each
+// other's requests (see `TableRelay`), so it does no harm when two disagree
+// about who asks whom: answers carry their age, and one that gets old is given
+// up like one that is silent.
 //
 // Failure: the gateway that is asked dies, freezes, is cut off, lags behind, or
 // is turned away by the store. Symptom: those that follow it go on under a
@@ -39,11 +39,11 @@
 
 class TableSource : public TableReader {
  public:
-  // Beyond the time for which a relay holds a question: a connection and an
+  // Beyond the time for which a relay holds a request: a connection and an
   // answer on a host that is short of its processor.
   static constexpr DurationUs kReplyTime = 350 * kMillisecond;
-  // A relay that failed is passed over for this long: a beat of one among a
-  // hundred gateways, which tells whether it lives.
+  // A relay that failed is passed over for this long: a heartbeat of one among
+  // a hundred gateways, which tells whether it lives.
   static constexpr DurationUs kShun = 3 * kSecond;
   // One that does not reach the store either: it may be back soon.
   static constexpr DurationUs kShunWithoutStore = kSecond;
@@ -86,7 +86,7 @@
   // Ends what takes too long; call it every 10 ms.
   void OnTick(TimeUs now);
 
-  // When the question that the store last failed to answer was sent; negative:
+  // When the request that the store last failed to answer was sent; negative:
   // it never failed.
   TimeUs store_failed_at() const { return store_failed_at_; }
 
@@ -104,7 +104,7 @@
   };
 
   void Begin(TimeUs now, TableQuery query);
-  // Unless one question to it is awaited already.
+  // Unless one request to it is awaited already.
   void AskStore(TimeUs now);
   void SendToStore(TimeUs now);
   void AskPeer(TimeUs now);
--- a/src/coordination/tables/table_watch.cc
+++ b/src/coordination/tables/table_watch.cc
@@ -136,7 +136,7 @@
   pages_.clear();
   listener_->OnTableLost(table_);
   DurationUs pause = kRetry;
-  // Another gateway held the question until now, and will hold the next one.
+  // Another gateway held the request until now, and will hold the next one.
   const bool paced = answer.kind == TableAnswer::Kind::kStoreLost;
   for (int n = 1; !paced && n < failures_ && pause < plan_->most_pause; ++n) {
     pause *= 2;
--- a/src/coordination/tables/table_watch.h
+++ b/src/coordination/tables/table_watch.h
@@ -6,7 +6,7 @@
 // goes on under a configuration that was replaced, or loses replicas that live.
 // Each call has a time limit; what is older than what is known is passed over;
 // after a gap the whole table is read again. Being current counts from when the
-// question was sent: its answer may have waited anywhere.
+// request was sent: its answer may have waited anywhere.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_WATCH_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_WATCH_H_
 
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -36,13 +36,13 @@
 constexpr double kClientShare = 0.5;
 constexpr std::size_t kReservedDescriptors = 250;
 
-// How long the store holds a question for the configuration that has no news,
-// as a share of the time for which a key that was taken away may be used; each
+// How long the store holds a request for the configuration that has no news, as
+// a share of the time for which a key that was taken away may be used; each
 // call has its price.
 //
 // Failure: the store stops answering. Symptom: a gateway refuses all requests
 // with keys as soon as the last answer is too old, which counts from when it
-// was asked for. The shorter the questions wait, the longer callers are served.
+// was asked for. The shorter such requests wait, the longer callers are served.
 constexpr double kConfigurationWaitShare = 0.2;
 
 // The operator's table has the configuration and the orders to empty failure
--- a/src/daemon/gateway_node_impl.h
+++ b/src/daemon/gateway_node_impl.h
@@ -99,7 +99,7 @@
   void OnWritten(ExchangeId id) override { gateway->OnWritten(id); }
   void OnListenerEvent(const ListenerEvent& event) override;
 
-  // GatewayPorts
+  // GatewayOutput
   TimeUs Now() override { return Loop::BootNow(); }
   void Refuse(ExchangeId id, const LocalReply& answer) override;
   void Answer(ExchangeId id,
--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -1,4 +1,5 @@
-// A gateway process among the others: finding them, beats, pieces handed over.
+// A gateway process among the others: finding them, heartbeats, pieces handed
+// over.
 #include <map>
 #include <utility>
 
@@ -7,11 +8,12 @@
 namespace acaciachute {
 namespace {
 
-// Each look goes over all gateways; a fifth of the shortest period of beats.
+// Each look goes over all gateways; a fifth of the shortest period of
+// heartbeats.
 constexpr DurationUs kPeersPeriod = GatewayPeers::kGatewayHeartbeatPeriod / 5;
 constexpr DurationUs kKnownPeriod = 250 * kMillisecond;
 // From reading the others' rows until all have heard of this gateway, some
-// first beats lost.
+// first heartbeats lost.
 constexpr DurationUs kSettle = kSecond;
 
 }  // namespace
@@ -37,7 +39,7 @@
 }
 
 // Only those that know the others well enough take a part of what is shared by
-// number. A gateway's first beats tell them of it.
+// number. A gateway's first heartbeats tell them of it.
 void GatewayNode::Impl::TellKnownGateways(TimeUs now) {
   if (now < next_known_at) {
     return;
--- a/src/messages.h
+++ b/src/messages.h
@@ -198,8 +198,8 @@
   bool can_check_keys = false;  // Whether it may check keys now.
   double cores = 1;             // Share of a processor core that it is given.
   std::string domain;           // Failure domain of its host.
-  DurationUs period = 150 * kMillisecond;  // Until its next beat, at most.
-  bool requests_reply = false;             // For a beat at once.
+  DurationUs period = 150 * kMillisecond;  // Until its next heartbeat, at most.
+  bool requests_reply = false;             // Of a heartbeat, at once.
   std::vector<EngineWork> work;
   std::vector<ServiceQueueWait> waits;
 };
@@ -216,7 +216,7 @@
 struct PieceRelease {
   std::vector<std::string> handles;
 };
-// The answers to orders.
+// The answers to tasks.
 struct PieceResults {
   std::vector<PieceResult> results;
 };
@@ -225,7 +225,7 @@
 // news the answer is held for a while.
 struct TableRequest {
   std::string table;
-  std::uint64_t sequence = 0;  // Of the asker's questions.
+  std::uint64_t sequence = 0;  // Of the requests of its sender.
   bool whole = false;          // All rows, or those above `after`.
   std::uint64_t after = 0;
   DurationUs wait = 0;  // Zero: the answer must not wait for news.
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -45,8 +45,8 @@
   }
 }
 
-// Another row of the same life. Leaving is for good: an older row, read late,
-// does not take it back.
+// Another row of the same incarnation. Leaving is for good: an older row, read
+// late, does not take it back.
 void ReplicaDirectory::Update(Row* row, const ReplicaEntry& entry) {
   const ReplicaEntry before = row->entry;
   const bool was_unreadable = row->unreadable;
@@ -93,8 +93,8 @@
   }
 }
 
-// The new life is listed before anybody hears of the old one's end: whoever
-// hears of it may choose a replica at once.
+// The new incarnation is listed before anybody hears of the old one's end:
+// whoever hears of it may choose a replica at once.
 void ReplicaDirectory::Restart(const ReplicaEntry& known,
                                const ReplicaEntry& entry) {
   const ReplicaEntry before = known;  // Its row is written over.
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -6,17 +6,17 @@
 // during an outage or just after it stays in use until `kBackWithin` after the
 // return; a replica that lives has written its entry again by then, and one
 // that has not is gone. An entry that says that its replica leaves is believed
-// at once, in an outage too. Only a question that the store did not answer this
+// at once, in an outage too. Only a request that the store did not answer this
 // host is an outage: otherwise an entry that vanishes is one of a replica that
 // left.
 //
 // Failure: a replica starts again under its name. Symptom: it never gets work
-// again because its life before had left, or requests wait for results, prompt
-// parts and answers that the new life does not have. Entries tell the start of
-// each life. A later start ends what is believed of the life before, in
-// `DirectoryChange::kRestarted`; an earlier one is passed over, so that a row
-// that is read late changes nothing. All that is kept by `ReplicaId` is kept
-// for one life.
+// again because its previous incarnation had left, or requests wait for
+// results, prompt parts and answers that the new incarnation does not have.
+// Entries tell the start of each incarnation. A later start ends what is
+// believed of the incarnation before, in `DirectoryChange::kRestarted`; an
+// earlier one is passed over, so that a row that is read late changes nothing.
+// All that is kept by `ReplicaId` is kept for one incarnation.
 //
 // Load pattern: thousands of replicas, each of which writes its row every
 // second, and thousands of rows at a start. A row costs what it changes itself:
@@ -39,17 +39,18 @@
 
 namespace acaciachute {
 
-// One life of a replica, from its start to its end.
+// One incarnation of a replica, from its start to its end.
 struct ReplicaId {
   ReplicaId() = default;
-  // Implicit, because a name alone stands for a life whose start is not told.
+  // Implicit, because a name alone stands for an incarnation whose start is not
+  // told.
   ReplicaId(std::string name_in, Incarnation incarnation_in = 0)
       : name(std::move(name_in)), incarnation(incarnation_in) {}
   ReplicaId(const char* name_in) : name(name_in) {}
 
   std::string name;
-  Incarnation incarnation =
-      0;  // Its start, in Unix milliseconds; zero: not told.
+  // Its start, in Unix milliseconds; zero: not told.
+  Incarnation incarnation = 0;
 
   auto operator<=>(const ReplicaId&) const = default;
   template <typename H>
@@ -66,9 +67,8 @@
   std::uint32_t slots = 1;
   bool leaving = false;
   TimeUs cold_until = 0;  // By what its rows said; they only put it off.
-  TimeUs evacuation_ended_at =
-      0;                     // Its failure domain was taken back; zero: never.
-  std::uint64_t orders = 0;  // Accepted by it in this life; never falls.
+  TimeUs evacuation_ended_at = 0;  // Of its failure domain; zero: never.
+  std::uint64_t orders = 0;  // Accepted by it in this incarnation; never falls.
 };
 
 // What became of an entry, for logs and for those who keep state by replica.
@@ -76,12 +76,12 @@
   kAdded,
   kLeaving,
   kGone,
-  kRestarted,     // This life ended: another one began under its name.
+  kRestarted,     // This incarnation ended: another one began under its name.
   kKeptInOutage,  // Its entry vanished; it may live.
   kUnreadable,    // Its entry names no replica until it can be read again.
   kReadable,
-  kOlderIncarnation,  // A row of a life that had ended; passed over.
-  kCountFell,  // Its orders fell within one life: not the replica's own row.
+  kOlderIncarnation,  // A row of an incarnation that had ended; passed over.
+  kCountFell,  // Its orders fell in one incarnation: not the replica's own row.
 };
 inline constexpr std::array<std::string_view, 9> kDirectoryChangeNames = {
     "added",      "leaving",  "gone",       "restarted", "kept_in_outage",
@@ -133,7 +133,7 @@
   void OnTick(TimeUs now);
 
   // No new work goes to replicas in the failure domain, those listed later
-  // included, until it is taken back.
+  // included, until the evacuation ends.
   void Evacuate(const std::string& domain);
   void EndEvacuation(TimeUs now, const std::string& domain);
   bool IsEvacuated(const std::string& domain) const {
@@ -161,7 +161,7 @@
     ReplicaEntry entry;
     std::string address;  // As handles of its results begin.
     bool unreadable = false;
-    std::uint64_t added = 0;   // Rises with each life that is listed.
+    std::uint64_t added = 0;   // Rises with each incarnation that is listed.
     bool taking = false;       // Whether its service's list has it,
     std::size_t position = 0;  // and where.
   };
@@ -178,15 +178,15 @@
   };
   using Rows = absl::node_hash_map<std::string, Row>;
 
-  // Whether the row is of a life that is over; what is known may say that a
-  // life that is listed again was leaving.
+  // Whether the row is of an incarnation that is over; what is known may say
+  // that an incarnation that is listed again was leaving.
   bool PassedOver(ReplicaEntry* entry) const;
   void List(const ReplicaEntry& entry);
   void TellAdded(const ReplicaEntry& entry);
   void Update(Row* row, const ReplicaEntry& entry);
   void Restart(const ReplicaEntry& known, const ReplicaEntry& entry);
   void Erase(TimeUs now, Rows::iterator it);
-  // Between the two a row's service, address and life may change.
+  // Between the two a row's service, address and incarnation may change.
   void AddToIndexes(Row* row);
   void RemoveFromIndexes(Row* row);
   // Adds it to those that take work, or removes it, as it is now.
@@ -195,7 +195,7 @@
   // Whether new work may go there. An entry that tells no start, among others
   // of its service that do, is another writer's.
   bool Takes(const Row& row) const;
-  // Null when that life is not listed.
+  // Null when that incarnation is not listed.
   const Row* RowOf(const ReplicaId& id) const;
 
   DirectoryWatcher* const watcher_;
--- a/src/state/table_rows.h
+++ b/src/state/table_rows.h
@@ -1,4 +1,4 @@
-// Rows of the store's tables, and answers to questions for them.
+// Rows of the store's tables, and answers to requests for them.
 #ifndef ACACIACHUTE_SRC_STATE_TABLE_ROWS_H_
 #define ACACIACHUTE_SRC_STATE_TABLE_ROWS_H_
 
@@ -32,7 +32,7 @@
   std::string why;            // When failed.
   // The store's steady clock when it answered, if it told.
   std::optional<TimeUs> store_time;
-  // The rows are all that the store held at this time after the question was
+  // The rows are all that the store held at this time after the request was
   // sent, by the asker's clock; negative when whoever answers knew it before.
   // None: there was no news, and nothing says how old that is.
   std::optional<DurationUs> known_after = 0;
--- a/tests/gateway/choices_test.cc
+++ b/tests/gateway/choices_test.cc
@@ -184,7 +184,7 @@
 }
 
 // Load: a large result beside a chain of three stages. It is made when the last
-// of the chain is, and does not fill its maker's memory before.
+// of the chain is, and does not fill its producer's memory before.
 TEST(StageProgressTest, PutsAStageOffThatIsNeededLate) {
   const std::vector<StageSpec> stages = {{"big", {}, 800000},
                                          {"a", {}, 8000},
--- a/tests/gateway/evacuation_test.cc
+++ b/tests/gateway/evacuation_test.cc
@@ -40,8 +40,8 @@
 };
 
 // Load: plain requests and streams while one of two failure domains is emptied
-// and taken back. New ones go to the other one meanwhile; what was begun in the
-// emptied one ends there.
+// and the evacuation ends. New ones go to the other one meanwhile; what was
+// begun in the emptied one ends there.
 TEST(EvacuationTest, SendsNothingNewToAnEmptiedDomain) {
   EvacuationRig rig;
   for (const char* it : {"app", "engine"}) {
@@ -129,7 +129,7 @@
 }
 
 // An older row, read late from another gateway, neither empties a failure
-// domain that was taken back nor takes back one that was emptied again.
+// domain whose evacuation ended nor ends that of one that was emptied again.
 TEST(EvacuationTest, OlderRowsChangeNothing) {
   EvacuationRig rig;
   rig.AddReplica("r1", "app", "a");
--- a/tests/gateway/freshness_test.cc
+++ b/tests/gateway/freshness_test.cc
@@ -187,7 +187,7 @@
 
 class FreshnessContactTest : public ::testing::TestWithParam<DurationUs> {};
 
-// Guards against: a question that was lost while the store could not be reached
+// Guards against: a request that was lost while the store could not be reached
 // keeps a host from asking anew, for longer than the settings give it.
 TEST_P(FreshnessContactTest, WhatTheStoreHoldsIsKnownInTimeAfterItIsBack) {
   const DurationUs contact = GetParam();
@@ -232,7 +232,7 @@
     net.Run(TableNet::kTick);
     oldest = std::max(oldest, net.OldestAge());
   }
-  // Asked at once, answered, and the answer of the question before it.
+  // Asked at once, answered, and the answer of the request before it.
   EXPECT_LE(oldest, 3 * kSlow);
   net.Write("config", "1");
   EXPECT_LE(
@@ -258,8 +258,8 @@
   RC_ASSERT(plan.store_wait + plan.settle < plan.ask_store);
 }
 
-// A store that holds a question tells when it answered, and nothing is taken
-// for newer than it is, whatever its clock shows.
+// A store that holds a request tells when it answered, and nothing is taken for
+// newer than it is, whatever its clock shows.
 RC_GTEST_PROP(RemoteClockTest, NeverPutsAMomentTooLate, ()) {
   RemoteClock clock;
   TimeUs now = 1000 * kSecond;
--- a/tests/gateway/gateway_rig.h
+++ b/tests/gateway/gateway_rig.h
@@ -1,5 +1,5 @@
-// One `Gateway` core between recording ports, a hand-driven piece desk and a
-// directory of replicas.
+// One `Gateway` core between a recording output, a hand-driven piece dispatcher
+// and a directory of replicas.
 #ifndef ACACIACHUTE_TESTS_GATEWAY_GATEWAY_RIG_H_
 #define ACACIACHUTE_TESTS_GATEWAY_GATEWAY_RIG_H_
 
@@ -152,7 +152,7 @@
     core.OnPiece({task.key, PieceOutcome::kMade, handle});
   }
 
-  // GatewayPorts:
+  // GatewayOutput:
   TimeUs Now() override { return now; }
   void Refuse(ExchangeId id, const LocalReply& answer) override {
     refused[id] = answer;
--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -1,4 +1,4 @@
-// Fleets of a hundred gateways and more that watch one another by beats.
+// Fleets of a hundred gateways and more that watch one another by heartbeats.
 #include <gtest/gtest.h>
 
 #include "state/random.h"
@@ -13,10 +13,11 @@
 }
 
 // What the caller sees: pieces are made twice and stages begin again on a calm
-// day. All gateways live. At the start each beats every 150 ms, then, among so
-// many, every 2.5 s; those that were not told so took it for silent, beat to it
-// less often, and were taken for silent by it: it batched for itself, and told
-// all others at its shorter period, and so on without end.
+// day. All gateways live. At the start each sends a heartbeat every 150 ms,
+// then, among so many, every 2.5 s; those that were not told so took it for
+// silent, sent theirs to it less often, and were taken for silent by it: it
+// batched for itself, and told all others at its shorter period, and so on
+// without end.
 TEST(PeerFleetTest, LiveGatewaysAreNeverCalledSilent) {
   for (const std::size_t n : {18U, 103U, 380U}) {
     PeerNet net(n, n / 6);
@@ -40,8 +41,8 @@
   }
 }
 
-// Beats get lost. Questions find out that their senders live: among the six
-// million beats of a minute there is no verdict.
+// Heartbeats get lost. Probes find out that their senders live: among the six
+// million heartbeats of a minute there is no verdict.
 TEST(PeerFleetTest, LostHeartbeatsAreNoLostGateways) {
   Random random(7);
   PeerNet net(103, 18);
@@ -51,7 +52,7 @@
 }
 
 // A gateway that batches is killed without a word. All others hear of it within
-// the bound for its beats and agree on the next.
+// the bound for its heartbeats and agree on the next.
 TEST(PeerFleetTest, ALostBatcherIsReplacedWithinASecond) {
   PeerNet net(103, 18);
   net.Run(5 * kSecond);
--- a/tests/gateway/peer_net.h
+++ b/tests/gateway/peer_net.h
@@ -1,5 +1,6 @@
-// A fleet of gateways that beat to one another in virtual time: the clock moves
-// in ticks of 10 ms, and a beat arrives one tick after it was sent.
+// A fleet of gateways that send one another heartbeats in virtual time: the
+// clock moves in ticks of 10 ms, and a heartbeat arrives one tick after it was
+// sent.
 #ifndef ACACIACHUTE_TESTS_GATEWAY_PEER_NET_H_
 #define ACACIACHUTE_TESTS_GATEWAY_PEER_NET_H_
 
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -184,7 +184,7 @@
 }
 
 // Load: results are not fetched for a while. No more is begun than the replica
-// has room for, and what waits is begun once results are freed.
+// has memory for, and what waits is begun once results are freed.
 TEST(PieceBatcherTest, BeginsNoMoreThanThereIsMemoryFor) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -336,8 +336,8 @@
 }
 
 // Load: a replica has memory for some of a request's results. Begun in part,
-// they would hold that memory until there is room for the rest; so the request
-// waits, and a smaller one behind it goes first.
+// they would hold that memory until there is memory for the rest; so the
+// request waits, and a smaller one behind it goes first.
 TEST(PieceBatcherTest, BeginsARequestOnlyWhereThereIsMemoryForAllOfIt) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -396,7 +396,7 @@
   EXPECT_EQ(rig.calls[0].pieces.size(), 10U);
 }
 
-// Load: a burst fills the makers of the stage before with results, which are
+// Load: a burst fills the producers of the stage before with results, which are
 // kept only while this stage works on them. Its calls read their inputs at
 // once; when the last of a request's pieces has done so, the results are let
 // go, long before the calls end.
@@ -424,8 +424,8 @@
 }
 
 // What the caller sees: an answer, a call later. A piece fails on a calm day,
-// when its inputs' makers have memory to spare. Its inputs are still there, so
-// it alone is made again and not all stages of its request.
+// when its inputs' producers have memory to spare. Its inputs are still there,
+// so it alone is made again and not all stages of its request.
 TEST(PieceBatcherTest, KeepsInputsWhereMemoryIsNotShort) {
   BatcherRig rig;
   rig.short_of_memory = false;
@@ -502,7 +502,7 @@
   EXPECT_EQ(rig.calls.size(), 2U);
   EXPECT_TRUE(rig.read.empty()) << "the first waits to read them again";
   rig.Make(rig.calls[1]);
-  rig.batcher.Free({"10.0.0.2:80/r.1"});  // Makes room.
+  rig.batcher.Free({"10.0.0.2:80/r.1"});  // Frees memory.
   rig.Pass(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 3U);
   rig.Pass(110 * kMs);
@@ -584,7 +584,7 @@
 
 // A replica restarts under its name in the middle of a call. Its pieces are
 // made by another one at once; the account of its memory begins anew, and the
-// new life gets work although the old one's call never ended.
+// new incarnation gets work although the old one's call never ended.
 TEST(PieceBatcherTest, MakesPiecesElsewhereWhenTheirReplicaStartsAgain) {
   BatcherRig rig;
   ReplicaEntry entry;
@@ -601,7 +601,7 @@
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].replica, ReplicaId("m", 6));
   EXPECT_EQ(rig.calls[1].held_bytes, 1U);
-  // An answer of the old life that arrives after all changes nothing.
+  // An answer of the old incarnation that arrives after all changes nothing.
   rig.Make(rig.calls[0]);
   EXPECT_TRUE(rig.results.empty());
   rig.Make(rig.calls[1]);
--- a/tests/gateway/replica_directory_model_test.cc
+++ b/tests/gateway/replica_directory_model_test.cc
@@ -1,8 +1,8 @@
 // Generated histories of rows against a naive version of the directory.
 //
-// Rows of several lives of a few replicas come in any order, repeated, spoiled
-// and removed, with outages between. The naive version keeps every row that it
-// was ever given and works out from all of them who takes work.
+// Rows of several incarnations of a few replicas come in any order, repeated,
+// spoiled and removed, with outages between. The naive version keeps every row
+// that it was ever given and works out from all of them who takes work.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -32,7 +32,7 @@
   return "r" + std::to_string(replica);
 }
 
-// All that was said, by replica and life.
+// All that was said, by replica and incarnation.
 class NaiveDirectory {
  public:
   void Take(const Step& step) {
@@ -125,8 +125,8 @@
   }
 }
 
-// Rows as other writers write them too: without the start of a life, with the
-// service or address of another replica.
+// Rows as other writers write them too: without the start of an incarnation,
+// with the service or address of another replica.
 ReplicaEntry DrawEntry() {
   ReplicaEntry entry;
   const Incarnation incarnation = *rc::gen::inRange<Incarnation>(0, 4);
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -89,8 +89,8 @@
   EXPECT_EQ(rig.directory.ProducerOf("10.0.0.2:80/x"), nullptr);
 }
 
-// A replica that left is stopped, repaired and started again under its name.
-// It takes work again; what was known of the life before ends.
+// A replica that left is stopped, repaired and started again under its name. It
+// takes work again; what was known of the previous incarnation ends.
 TEST(ReplicaDirectoryTest, GivesWorkToAReplicaThatLeftAndStartedAgain) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -103,8 +103,9 @@
   EXPECT_EQ(rig.directory.Find({"r", 5}), nullptr);
 }
 
-// A row of a life that is over is read late, before and after the replica was
-// taken off the list: it brings nothing back and takes nothing away.
+// A row of an incarnation that is over is read late, before and after the
+// replica was taken off the list: it brings nothing back and takes nothing
+// away.
 TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierIncarnation) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
@@ -113,13 +114,13 @@
   rig.directory.Remove(0, "r");
   rig.directory.Put(DirectoryRig::Entry({"r", 5}));
   EXPECT_TRUE(rig.directory.Of("s").empty());
-  // The same life is listed again after an outage of the store.
+  // The same incarnation is listed again after an outage of the store.
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
   EXPECT_TRUE(rig.directory.TakesWork({"r", 6}));
 }
 
 // A replica leaves, its entry goes, and a row from before is read again: it
-// gets nothing new in that life.
+// gets nothing new in that incarnation.
 TEST(ReplicaDirectoryTest, RemembersThatAnIncarnationLeftAfterItsEntryWent) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -175,7 +176,7 @@
   EXPECT_EQ(rig.changes.back(), "r added");
 }
 
-// A result's maker is found by its address. An entry by another writer that
+// A result's producer is found by its address. An entry by another writer that
 // names the same address does not take it over.
 TEST(ReplicaDirectoryTest, FindsTheProducerAmongEntriesOfOneAddress) {
   DirectoryRig rig;
--- a/tests/gateway/table_relay_test.cc
+++ b/tests/gateway/table_relay_test.cc
@@ -139,7 +139,7 @@
     net.SetMood(TableNet::Mood::kServes);
     net.Write("config", "1");
     const TimeUs back = net.now();
-    // An age counts from the questions: a tick each for the store's answer, the
+    // An age counts from the requests: a tick each for the store's answer, the
     // relay's and what it was asked, and what the clocks may have parted by.
     constexpr DurationUs kOnTheWay = 5 * TableNet::kTick;
     const DurationUs took = net.RunUntil(
@@ -183,8 +183,8 @@
 // Load: the store stops answering everybody. Callers with keys are served while
 // the configuration is known to be young enough, so it has to be young at any
 // moment at which that may happen: of the five seconds for which a key that was
-// taken away may be used, three are left at every gateway. Questions that wait
-// a tenth of that bound do it, at a few calls a second.
+// taken away may be used, three are left at every gateway. Requests that wait a
+// tenth of that bound do it, at a few calls a second.
 TEST(TableRelayTest, AnOutageFindsKeysUsableForMostOfTheirBound) {
   constexpr DurationUs kRevocation = 5 * kSecond;
   FreshnessPlan plan = PlanFreshness(TableNet::kBound, TableNet::kContact);
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -96,8 +96,8 @@
   EXPECT_EQ(rig.store_asked, 0);
 }
 
-// The answer comes 500 ms after the question and speaks of a moment 1 s before
-// it arrived. The age counts from the question.
+// The answer comes 500 ms after the request and speaks of a moment 1 s before
+// it arrived. The age counts from the request.
 TEST(TableSourceTest, CountsAgeFromItsRequest) {
   SourceRig rig;
   rig.source.ReadRows(rig.now, "t", "");
@@ -107,7 +107,7 @@
   EXPECT_EQ(rig.got[0].known_after, -kSecond);
 }
 
-// A relay that fails in any way: the question goes to another one, and nothing
+// A relay that fails in any way: the request goes to another one, and nothing
 // that is known is lost or told to be lost.
 TEST(TableSourceTest, LeavesARelayThatFails) {
   SourceRig rig;
@@ -125,7 +125,7 @@
   EXPECT_EQ(rig.got[0].rows.size(), 1U);
 }
 
-// An answer to an earlier question, or from one that was not asked.
+// An answer to an earlier request, or from one that was not asked.
 TEST(TableSourceTest, PassesOverAnswersToOtherRequests) {
   SourceRig rig;
   rig.Learn(5);
@@ -242,7 +242,7 @@
   EXPECT_EQ(rig.got.back().kind, TableAnswer::Kind::kRows);
   EXPECT_EQ(rig.got.back().version, 7U);
   EXPECT_TRUE(rig.log.Saw("table_late"));
-  // Nothing that comes after it is an answer to the same question.
+  // Nothing that comes after it is an answer to the same request.
   const std::size_t before = rig.got.size();
   rig.StoreAnswers(StoreRows(8));
   EXPECT_EQ(rig.got.size(), before);
@@ -271,7 +271,7 @@
   EXPECT_EQ(rig.got[1].kind, TableAnswer::Kind::kHistoryGone);
 }
 
-// The failure of a question whose place a newer one took tells nothing.
+// The failure of a request whose place a newer one took tells nothing.
 TEST(TableSourceTest, AReplacedRequestThatFailsIsNoFailure) {
   SourceRig rig;
   rig.Learn(5);
--- a/tests/gateway/table_watch_test.cc
+++ b/tests/gateway/table_watch_test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 struct WatchRig : TableReader, TableListener {
-  std::vector<DurationUs> waits;  // Of questions for changes.
+  std::vector<DurationUs> waits;  // Of requests for changes.
   void ReadRows(TimeUs, const std::string&, const std::string& from) override {
     asked.push_back("rows " + from);
   }
@@ -95,7 +95,7 @@
   EXPECT_LT(rig.asked.size(), 20U);
 }
 
-// Being current counts from when the question was sent: its answer may have
+// Being current counts from when the request was sent: its answer may have
 // waited anywhere, and a key may have been taken away meanwhile.
 TEST(TableWatchTest, IsCurrentAsOfItsRequest) {
   WatchRig rig;
@@ -145,7 +145,7 @@
 }
 
 // What callers see: 503 for two seconds after each outage of the store. What is
-// known is old by then, and a question that waits for news as usual is answered
+// known is old by then, and a request that waits for news as usual is answered
 // only when its wait is over. The first one after a failure does not wait.
 TEST(TableWatchTest, DoesNotWaitForNewsAfterAFailure) {
   WatchRig rig;
