--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -25,8 +25,9 @@
 constexpr double kLateShare = 0.35;
 
 // A parked request begins when the queues are this short, one each step a
-// gateway: what the batching gateways tell of their queues is as old as a beat.
-// One is parked if its turn is expected within this share of its time.
+// gateway: what the batching gateways tell of their queues is as old as a
+// heartbeat. One is parked if its turn is expected within this share of its
+// time.
 constexpr DurationUs kParkedWait = 500 * kMillisecond;
 constexpr DurationUs kParkedStep = 100 * kMillisecond;
 constexpr double kParkedShare = 0.6;
@@ -46,15 +47,15 @@
 // Failure: a key is taken away while this entry cannot hear of it. Symptom: a
 // request runs under a key that its owner was told is void. A key counts only
 // while the configuration was confirmed within `key_age`, by a clock that goes
-// on while the host is suspended, and from when the question was sent.
+// on while the host is suspended, and from when the request for it was sent.
 bool Gateway::Impl::Current() const {
-  return confirmed_at >= 0 && ports->Now() - confirmed_at <= options.key_age;
+  return confirmed_at >= 0 && output->Now() - confirmed_at <= options.key_age;
 }
 
 bool Gateway::Impl::FindAccount(const Route& route,
-                                const ClientCall& call,
+                                const ClientRequest& call,
                                 const ClientAccount** account,
-                                OwnAnswer* refusal) {
+                                LocalReply* refusal) {
   if (!config->needs_keys || route.anonymous) {
     return true;
   }
@@ -73,14 +74,14 @@
 }
 
 // Load pattern: the store turns some hosts away, or all of them, for seconds.
-// Clients retry once or twice. If another entry is current, which a new
+// Clients retry once or twice. If another entry may check keys, which a new
 // connection most likely reaches, they are served when they come at once. If
 // none is, whoever comes back in a second is refused again and has used up its
 // tries; the longest wait that clients honour, a third of their time, gives the
 // store the most time to return. Spread, so that they do not come together.
 DurationUs Gateway::Impl::RetryAfterNotCurrent(const Route& route,
-                                               const ClientCall& call) {
-  if (another_is_current) {
+                                               const ClientRequest& call) {
+  if (peer_can_check_keys) {
     return kElsewhere;
   }
   return RetryAfterLongest(call.deadline > 0
@@ -99,7 +100,7 @@
 // their stages made for a replica that is not there, until their clients leave.
 // Stages that are made already need no replica any more.
 bool Gateway::Impl::HasNoReplica(const ServingRequest& request,
-                                 OwnAnswer* refusal) {
+                                 LocalReply* refusal) {
   std::string_view missing;
   if (directory->Of(request.service).empty()) {
     missing = request.service;
@@ -115,7 +116,7 @@
     return false;
   }
   *refusal = {Refusal::kNoReplica, Verdict::kNotRun,
-              RetryAfterLongest(request.answer_by - ports->Now()),
+              RetryAfterLongest(request.answer_by - output->Now()),
               StrCat("no replica of ", missing, " takes work")};
   return true;
 }
@@ -135,7 +136,7 @@
   return route.split.empty() ? std::string() : route.split.front().service;
 }
 
-void Gateway::Impl::Admit(ExchangeId id, ClientCall call) {
+void Gateway::Impl::Admit(ExchangeId id, ClientRequest call) {
   if (config == nullptr) {
     RefuseAtOnce(id, call,
                  {Refusal::kNotCurrent, Verdict::kNotRun, kSecond,
@@ -154,12 +155,12 @@
     return;
   }
   const ClientAccount* account = nullptr;
-  OwnAnswer refusal;
+  LocalReply refusal;
   if (!FindAccount(*route, call, &account, &refusal)) {
     RefuseAtOnce(id, call, refusal);
     return;
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   auto request =
       std::make_unique<ServingRequest>(id, std::move(call), config, route);
   request->account = account;
@@ -176,7 +177,7 @@
   request->answer_by = request->deadline_at;
   if (route->kind == RouteKind::kStream) {
     request->answer_by =
-        std::min(request->answer_by, now + route->FirstEventPatience() - kLink);
+        std::min(request->answer_by, now + route->FirstEventTimeout() - kLink);
   }
   request->resume_after = request->call.resume_after;
   request->admission = HasNoReplica(*request, &refusal)
@@ -204,7 +205,7 @@
 // A client that comes back after a refusal has less time left than its route's
 // clients usually give; no field says so.
 DurationUs Gateway::Impl::ElapsedBefore(const Route& route,
-                                        const ClientCall& call) {
+                                        const ClientRequest& call) {
   auto& usual = usual_deadline[route.name];
   const auto deadline = static_cast<double>(call.deadline);
   if (usual == 0) {
@@ -221,14 +222,14 @@
 
 Gateway::Impl::StageWaits Gateway::Impl::WaitsOf(
     const ServingRequest& request) const {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   StageWaits waits;
   for (std::uint32_t n = 0; n < request.route->stages.size(); ++n) {
     if (request.progress.Pieces(n) == 0) {
       continue;
     }
-    const PoolWait wait =
-        desk->ExpectedWait(now, request.route->stages[n].service);
+    const QueueWait wait =
+        dispatcher->ExpectedWait(now, request.route->stages[n].service);
     waits.in_time += wait.Of(request.priority);
     waits.late = std::max(waits.late, wait.late);
   }
@@ -243,11 +244,11 @@
 // time after the burst is likely to serve are parked before any work is done
 // for them, so that they hold no memory; what is left is refused, and told when
 // the queue will be shorter.
-Admission Gateway::Impl::Decide(ServingRequest* request, OwnAnswer* refusal) {
+Admission Gateway::Impl::Decide(ServingRequest* request, LocalReply* refusal) {
   if (request->route->stages.empty()) {
     return Admission::kInTime;
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const auto [in_time, late, work] = WaitsOf(*request);
   request->expected_wait = in_time;
   if (now + in_time + work <= request->target_by) {
@@ -282,7 +283,7 @@
 }
 
 void Gateway::Impl::BeginParked() {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   if (parked.empty() || now < next_parked_at) {
     return;
   }
@@ -312,7 +313,7 @@
   constexpr DurationUs kSpread = 700 * kMillisecond;
   const DurationUs wait =
       kLeast + static_cast<DurationUs>(random->Below(kSpread));
-  const DurationUs left = request.answer_by - ports->Now();
+  const DurationUs left = request.answer_by - output->Now();
   return left > wait ? wait : 0;
 }
 
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -19,7 +19,7 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "coordination/membership/own_pause.h"
+#include "coordination/membership/suspension_detector.h"
 #include "coordination/tables/relay_plan.h"
 #include "messages.h"
 #include "state/event_log.h"
@@ -28,38 +28,40 @@
 
 namespace acaciachute {
 
-// A beat that is due to `node`, which may count on the next one within
+// A heartbeat that is due to `node`, which may count on the next one within
 // `promise`.
-struct DueBeat {
+struct DueHeartbeat {
   NodeId node;
   DurationUs promise = 0;
 };
 
 class GatewayPeers {
  public:
-  // A beat is under 1 KB; at five gateways that is 20 KB/s a host.
-  static constexpr DurationUs kBeat = 150 * kMillisecond;
+  // A heartbeat is under 1 KB; at five gateways that is 20 KB/s a host.
+  static constexpr DurationUs kGatewayHeartbeatPeriod = 150 * kMillisecond;
   // Load pattern: each gateway tells all others, so what a host receives grows
-  // with their number; at 29 a tenth of a core went on beats. Up to this many
-  // peers all beat every `kBeat`. With more, only those that batch for others
-  // do and the rest in proportion less often: nobody waits for these.
+  // with their number; at 29 a tenth of a core went on heartbeats. Up to this
+  // many peers all send one every `kGatewayHeartbeatPeriod`. With more, only
+  // those that batch for others do and the rest in proportion less often:
+  // nobody waits for these.
   static constexpr std::size_t kPeersAtFullRate = 6;
-  // Four beats: with a thirtieth of the datagrams lost, a live gateway is taken
-  // for dead once in a million beats. Longer for those that beat less often.
+  // Four heartbeats: with a thirtieth of the datagrams lost, a live gateway is
+  // taken for dead once in a million heartbeats. Longer for those that send
+  // them less often.
   static constexpr DurationUs kSilent = 650 * kMillisecond;
-  // Two beats missed: the gateway is asked for one, three times until it is
-  // taken for dead. Like the direct probe of SWIM (Das, Gupta and Motivala
+  // Two heartbeats missed: the gateway is asked for one, three times until it
+  // is taken for dead. Like the direct probe of SWIM (Das, Gupta and Motivala
   // 2002); others are not asked whether they hear it, because their word would
   // not carry pieces to it.
   static constexpr DurationUs kSuspect = 400 * kMillisecond;
   static constexpr DurationUs kAskAgain = (kSilent - kSuspect) / 3;
-  // Longer than a beat may have been on its way.
+  // Longer than a heartbeat may have been on its way.
   static constexpr DurationUs kUnreachable = 300 * kMillisecond;
   // Between two looks, on a host that is short of its processor. What is beyond
   // it, this process did not run.
   static constexpr DurationUs kLongestTurn = 200 * kMillisecond;
   // Silent ones are still told, less often: they may return from a cut.
-  static constexpr DurationUs kSilentBeat = kSecond;
+  static constexpr DurationUs kSilentPeerHeartbeatPeriod = kSecond;
   // After this a silent gateway is forgotten; it is read from the store again
   // if it lives.
   static constexpr DurationUs kForget = 60 * kSecond;
@@ -72,14 +74,14 @@
   // A gateway that the store lists.
   void OnListed(TimeUs now, const NodeId& node);
   // Returns whether its state changed.
-  bool OnBeat(TimeUs now,
-              const NodeId& node,
-              Incarnation incarnation,
-              const GatewayBeat& beat);
+  bool OnGatewayHeartbeat(TimeUs now,
+                          const NodeId& node,
+                          Incarnation incarnation,
+                          const GatewayHeartbeat& heartbeat);
   // No connection could be made to it. It is taken for dead at once, until a
-  // beat that comes `kUnreachable` later: a killed process refuses connections
-  // long before its silence tells, and trying it again in a loop would use up
-  // this process's time.
+  // heartbeat that comes `kUnreachable` later: a killed process refuses
+  // connections long before its silence tells, and trying it again in a loop
+  // would use up this process's time.
   void OnUnreachable(TimeUs now, const NodeId& node);
   // All that may send work by what is known, this one included and sorted:
   // those heard within `kRemember`, whatever became of them since, and those
@@ -88,26 +90,27 @@
   // Call it before each look at who is lost, every 30 ms.
   //
   // Failure: this process is suspended and goes on. Symptom: all others seem
-  // silent until their next beats, and what they had in hand is done again. So
-  // nobody's silence is counted while this process did not run.
+  // silent until their next heartbeats, and what they had in hand is done
+  // again. So nobody's silence is counted while this process did not run.
   void OnTick(TimeUs now);
   // Gateways that fell silent or restarted since the last call: what they had
   // is lost.
   std::vector<NodeId> TakeLost(TimeUs now);
-  // How often this gateway beats; `batches` tells whether others hand it
-  // pieces.
+  // How often this gateway sends heartbeats; `batches` tells whether others
+  // hand it pieces.
   DurationUs Period(bool batches) const;
-  // Those that a beat is due to now. A period that grows is told in a beat that
-  // comes as early as the one before promised.
+  // Those that a heartbeat is due to now. A period that grows is told in a
+  // heartbeat that comes as early as the one before promised.
   //
-  // Failure: a gateway beats less often without having said so, or hears its
-  // peers less often because they hold it for silent. Symptom: among many live
-  // gateways, hosts with nothing to batch take those that batch for silent
-  // again and again and hand themselves their pieces, and so on in a circle.
-  // Each promise is to one gateway and is kept, so silence means a loss.
-  std::vector<DueBeat> DueBeats(TimeUs now, DurationUs period);
+  // Failure: a gateway sends heartbeats less often without having said so, or
+  // hears its peers less often because they hold it for silent. Symptom: among
+  // many live gateways, hosts with nothing to batch take those that batch for
+  // silent again and again and hand themselves their pieces, and so on in a
+  // circle. Each promise is to one gateway and is kept, so silence means a
+  // loss.
+  std::vector<DueHeartbeat> DueHeartbeats(TimeUs now, DurationUs period);
   // Those that must tell at once whether they live.
-  std::vector<DueBeat> DueQuestions(TimeUs now);
+  std::vector<DueHeartbeat> DueProbes(TimeUs now);
   // All hear it at once.
   void SetLeaving();
 
@@ -121,7 +124,7 @@
   // Any gateway that lives and does not leave; empty when there is none.
   NodeId AnyLive(Random* random) const;
   // Whether another gateway that lives may check keys, as it last told.
-  bool AnotherIsCurrent() const;
+  bool AnyPeerCanCheckKeys() const;
 
  private:
   struct Peer {
@@ -134,16 +137,17 @@
     TimeUs unreachable_until = 0;
     double cores = 1;
     std::string domain;
-    DurationUs period = kBeat;
+    DurationUs period = kGatewayHeartbeatPeriod;
     bool live = false;
     bool leaving = false;
-    bool current = false;
+    bool can_check_keys = false;
     bool restarted = false;
   };
 
-  // A limit that is given for `kBeat`, at the peer's own period.
+  // A limit that is given for `kGatewayHeartbeatPeriod`, at the peer's own
+  // period.
   static DurationUs Scaled(const Peer& peer, DurationUs limit) {
-    return limit * peer.period / kBeat;
+    return limit * peer.period / kGatewayHeartbeatPeriod;
   }
   // What was derived from who lives is derived anew.
   void OnChange();
@@ -151,7 +155,7 @@
   const GatewayHost self_;
   EventLog* const log_;
   bool leaving_ = false;
-  OwnPause own_pause_{kLongestTurn};
+  SuspensionDetector suspension_detector_{kLongestTurn};
   std::map<NodeId, Peer> peers_;
   // Until when each counts as one that may send work.
   absl::flat_hash_map<NodeId, TimeUs> known_until_;
--- a/src/coordination/stages/stage_makers.h
+++ b/src/coordination/stages/stage_replicas.h
@@ -1,7 +1,7 @@
 // What a batcher knows of its service's replicas: who is free, how slow each
 // is, who failed lately, and the memory that results hold there.
-#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
-#define ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
+#define ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
 
 #include <cstdint>
 #include <map>
@@ -15,14 +15,14 @@
 
 namespace acaciachute {
 
-class StageMakers {
+class StageReplicas {
  public:
   // After a refusal or a broken call. A restart takes some seconds; a replica
   // that is well again is found by one call.
   static constexpr DurationUs kShun = 400 * kMillisecond;
   static constexpr DurationUs kMostShun = 3200 * kMillisecond;
-  // After a replica had no room although the account here says so: another
-  // gateway's batcher filled it, and its results go as they are used.
+  // After a replica had no memory left although the account here says so:
+  // another gateway's batcher filled it, and its results go as they are used.
   static constexpr DurationUs kFullFor = 300 * kMillisecond;
   // Weight of the newest call in a replica's slowness, and the time after which
   // an old observation counts by 1/e.
@@ -48,7 +48,7 @@
     DurationUs wait = 0;       // Until the first of them is free.
   };
 
-  explicit StageMakers(const ReplicaDirectory* directory)
+  explicit StageReplicas(const ReplicaDirectory* directory)
       : directory_(directory) {}
 
   void SetService(const std::string& name, const BatchLimits& limits);
@@ -56,7 +56,7 @@
     return directory_->Of(service_);
   }
 
-  // Of the maker of a result.
+  // Of the producer of a result.
   bool InEvacuatedDomain(const std::string& handle) const;
 
   // That take a call now, the fastest first.
@@ -77,8 +77,8 @@
                    const ReplicaId& id,
                    const CallView& call,
                    End end);
-  void OnNoRoom(TimeUs now, const ReplicaId& id);
-  void OnGone(const ReplicaId& id) { makers_.erase(id); }
+  void OnOutOfMemory(TimeUs now, const ReplicaId& id);
+  void OnGone(const ReplicaId& id) { states_.erase(id); }
 
   // Memory at a replica, results that are being made included.
   std::uint64_t HeldBytes(const ReplicaId& id) const;
@@ -94,7 +94,7 @@
   double MemoryHeld() const;
 
  private:
-  struct Maker {
+  struct ReplicaState {
     std::uint32_t calls = 0;    // Those that are overdue left out.
     std::uint32_t overdue = 0;  // Calls that may never be answered.
     double slowness = 1;        // Measured against expected time.
@@ -102,26 +102,26 @@
     TimeUs shunned_until = 0;
     DurationUs shun = kShun;
     TimeUs free_at = 0;
-    TimeUs full_until = 0;         // It had no room, by results not known here.
+    TimeUs full_until = 0;  // It had no memory left, by results not known here.
     std::uint64_t held_bytes = 0;  // Results there, and those being made.
   };
   struct Held {
-    ReplicaId maker;
+    ReplicaId producer;
     std::uint64_t bytes = 0;
-    TimeUs until = 0;  // Its maker forgets it by then.
+    TimeUs until = 0;  // Its producer forgets it by then.
   };
 
-  static double SlownessOf(TimeUs now, const Maker& maker);
-  const Maker* Find(const ReplicaId& id) const;
+  static double SlownessOf(TimeUs now, const ReplicaState& state);
+  const ReplicaState* Find(const ReplicaId& id) const;
   void Release(const ReplicaId& id, std::uint64_t bytes);
 
   const ReplicaDirectory* const directory_;
   std::string service_;
   BatchLimits limits_;
-  absl::flat_hash_map<ReplicaId, Maker> makers_;
+  absl::flat_hash_map<ReplicaId, ReplicaState> states_;
   std::map<std::string, Held> held_;  // By handle.
 };
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -1,4 +1,4 @@
-// Fleets of a hundred gateways and more that watch one another by beats.
+// Fleets of a hundred gateways and more that watch one another by heartbeats.
 #include <gtest/gtest.h>
 
 #include "state/random.h"
@@ -13,10 +13,11 @@
 }
 
 // What the caller sees: pieces are made twice and stages begin again on a calm
-// day. All gateways live. At the start each beats every 150 ms, then, among so
-// many, every 2.5 s; those that were not told so took it for silent, beat to it
-// less often, and were taken for silent by it: it batched for itself, and told
-// all others at its shorter period, and so on without end.
+// day. All gateways live. At the start each sends a heartbeat every 150 ms,
+// then, among so many, every 2.5 s; those that were not told so took it for
+// silent, sent theirs to it less often, and were taken for silent by it: it
+// batched for itself, and told all others at its shorter period, and so on
+// without end.
 TEST(PeerFleetTest, LiveGatewaysAreNeverCalledSilent) {
   for (const std::size_t n : {18U, 103U, 380U}) {
     PeerNet net(n, n / 6);
@@ -40,9 +41,9 @@
   }
 }
 
-// Beats get lost. Questions find out that their senders live: among the six
-// million beats of a minute there is no verdict.
-TEST(PeerFleetTest, LostBeatsAreNoLostGateways) {
+// Heartbeats get lost. Probes find out that their senders live: among the six
+// million heartbeats of a minute there is no verdict.
+TEST(PeerFleetTest, LostHeartbeatsAreNoLostGateways) {
   Random random(7);
   PeerNet net(103, 18);
   net.SetLoses(LosesAThirtieth(&random));
@@ -51,7 +52,7 @@
 }
 
 // A gateway that batches is killed without a word. All others hear of it within
-// the bound for its beats and agree on the next.
+// the bound for its heartbeats and agree on the next.
 TEST(PeerFleetTest, ALostBatcherIsReplacedWithinASecond) {
   PeerNet net(103, 18);
   net.Run(5 * kSecond);
@@ -87,20 +88,21 @@
 
 // Load: what a host with a tenth of a core receives. A fleet of 380 costs it no
 // more datagrams a second than one of 30.
-TEST(PeerFleetTest, BeatsAHostReceivesDoNotGrowWithTheFleet) {
+TEST(PeerFleetTest, HeartbeatsAHostReceivesDoNotGrowWithTheFleet) {
   // A second's mean, over a whole period of those that batch for nobody.
   const auto received = [](std::size_t n) {
     PeerNet net(n, n / 6);
     net.Run(kSecond);
     const auto period = static_cast<std::size_t>(
-        GatewayPeers::kBeat * static_cast<DurationUs>(n - 1) /
+        GatewayPeers::kGatewayHeartbeatPeriod * static_cast<DurationUs>(n - 1) /
         static_cast<DurationUs>(GatewayPeers::kPeersAtFullRate));
-    const std::size_t before = net.beats();
+    const std::size_t before = net.heartbeats();
     net.Run(static_cast<DurationUs>(period));
-    return (net.beats() - before) * kSecond / n / period;
+    return (net.heartbeats() - before) * kSecond / n / period;
   };
   constexpr std::size_t kBatchers = 3;
-  constexpr std::size_t kAtFullRate = kSecond / GatewayPeers::kBeat + 1;
+  constexpr std::size_t kAtFullRate =
+      kSecond / GatewayPeers::kGatewayHeartbeatPeriod + 1;
   const std::size_t most =
       kAtFullRate * (GatewayPeers::kPeersAtFullRate + kBatchers);
   EXPECT_LE(received(103), most);
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -81,16 +81,16 @@
   EXPECT_FALSE(rig.directory.TakesWork("r"));
 }
 
-TEST(ReplicaDirectoryTest, FindsTheMakerOfAResult) {
+TEST(ReplicaDirectoryTest, FindsTheProducerOfAResult) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("r"));
-  ASSERT_NE(rig.directory.MakerOf("10.0.0.1:80/x"), nullptr);
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id, "r");
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.2:80/x"), nullptr);
+  ASSERT_NE(rig.directory.ProducerOf("10.0.0.1:80/x"), nullptr);
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id, "r");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.2:80/x"), nullptr);
 }
 
-// A replica that left is stopped, repaired and started again under its name.
-// It takes work again; what was known of the life before ends.
+// A replica that left is stopped, repaired and started again under its name. It
+// takes work again; what was known of the previous incarnation ends.
 TEST(ReplicaDirectoryTest, GivesWorkToAReplicaThatLeftAndStartedAgain) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -103,9 +103,10 @@
   EXPECT_EQ(rig.directory.Find({"r", 5}), nullptr);
 }
 
-// A row of a life that is over is read late, before and after the replica was
-// taken off the list: it brings nothing back and takes nothing away.
-TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierLife) {
+// A row of an incarnation that is over is read late, before and after the
+// replica was taken off the list: it brings nothing back and takes nothing
+// away.
+TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierIncarnation) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -113,14 +114,14 @@
   rig.directory.Remove(0, "r");
   rig.directory.Put(DirectoryRig::Entry({"r", 5}));
   EXPECT_TRUE(rig.directory.Of("s").empty());
-  // The same life is listed again after an outage of the store.
+  // The same incarnation is listed again after an outage of the store.
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
   EXPECT_TRUE(rig.directory.TakesWork({"r", 6}));
 }
 
 // A replica leaves, its entry goes, and a row from before is read again: it
-// gets nothing new in that life.
-TEST(ReplicaDirectoryTest, RemembersThatALifeLeftAfterItsEntryWent) {
+// gets nothing new in that incarnation.
+TEST(ReplicaDirectoryTest, RemembersThatAnIncarnationLeftAfterItsEntryWent) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
   rig.directory.Remove(0, "r");
@@ -161,7 +162,7 @@
   EXPECT_TRUE(rig.directory.TakesWork({"r", 5}));
 }
 
-TEST(ReplicaDirectoryTest, SaysThatACountFellWithinOneLife) {
+TEST(ReplicaDirectoryTest, SaysThatACountFellWithinOneIncarnation) {
   DirectoryRig rig;
   ReplicaEntry entry = DirectoryRig::Entry({"r", 5});
   entry.orders = 9;
@@ -169,23 +170,23 @@
   entry.orders = 3;
   rig.directory.Put(entry);
   EXPECT_EQ(rig.changes.back(), "r count_fell");
-  entry.id.life = 6;
+  entry.id.incarnation = 6;
   entry.orders = 0;
   rig.directory.Put(entry);
   EXPECT_EQ(rig.changes.back(), "r added");
 }
 
-// A result's maker is found by its address. An entry by another writer that
+// A result's producer is found by its address. An entry by another writer that
 // names the same address does not take it over.
-TEST(ReplicaDirectoryTest, FindsTheMakerAmongEntriesOfOneAddress) {
+TEST(ReplicaDirectoryTest, FindsTheProducerAmongEntriesOfOneAddress) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("real"));
   ReplicaEntry foreign = DirectoryRig::Entry("a-foreign");
   foreign.service = "unheard-of";
   rig.directory.Put(foreign);
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id.name, "real");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id.name, "real");
   rig.directory.Put(DirectoryRig::Entry("real", true));
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id.name, "a-foreign");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id.name, "a-foreign");
 }
 
 }  // namespace
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -20,28 +20,28 @@
 struct SourceRig : StoreReader, TableRelayOutput {
   SourceRig() {
     for (const char* it : {"a", "b", "c"}) {
-      GatewayBeat beat;
-      beat.cores = 1;
-      beat.domain = *it == 'a' ? "own" : it;
-      peers.OnBeat(now, it, 1, beat);
+      GatewayHeartbeat heartbeat;
+      heartbeat.cores = 1;
+      heartbeat.domain = *it == 'a' ? "own" : it;
+      peers.OnGatewayHeartbeat(now, it, 1, heartbeat);
     }
   }
-  void Ask(const StoreQuestion& question_in) override {
+  void Ask(const StoreRequest& request_in) override {
     ++store_asked;
-    store_questions.push_back(question_in);
+    store_requests.push_back(request_in);
   }
   void Forget(const std::string&, std::uint64_t id) override {
     forgotten.push_back(id);
   }
   void StoreAnswers(const TableAnswer& answer) {
-    source.OnStoreAnswer(now, store_questions.back().id, answer);
+    source.OnStoreAnswer(now, store_requests.back().id, answer);
   }
   void SendToPeer(const NodeId& peer, const Message& message) override {
     asked.push_back(peer);
-    question = std::get<TableQuestion>(message);
+    request = std::get<TableRequest>(message);
   }
   void Reply(const TableAnswer& answer) {
-    source.OnReply(now, asked.back(), {"t", question.sequence, answer});
+    source.OnReply(now, asked.back(), {"t", request.sequence, answer});
   }
   static TableAnswer Rows(std::uint64_t version, DurationUs known_after) {
     TableAnswer answer;
@@ -72,9 +72,9 @@
   Metrics metrics;
   GatewayPeers peers{{"self", "own", 0.1}, &log};
   std::vector<NodeId> asked;
-  TableQuestion question;
+  TableRequest request;
   int store_asked = 0;
-  std::vector<StoreQuestion> store_questions;
+  std::vector<StoreRequest> store_requests;
   std::vector<std::uint64_t> forgotten;
   std::vector<TableAnswer> got;
   const FreshnessPlan plan = Plan();
@@ -96,9 +96,9 @@
   EXPECT_EQ(rig.store_asked, 0);
 }
 
-// The answer comes 500 ms after the question and speaks of a moment 1 s before
-// it arrived. The age counts from the question.
-TEST(TableSourceTest, CountsAgeFromItsQuestion) {
+// The answer comes 500 ms after the request and speaks of a moment 1 s before
+// it arrived. The age counts from the request.
+TEST(TableSourceTest, CountsAgeFromItsRequest) {
   SourceRig rig;
   rig.source.ReadRows(rig.now, "t", "");
   rig.now += 500 * kMillisecond;
@@ -107,7 +107,7 @@
   EXPECT_EQ(rig.got[0].known_after, -kSecond);
 }
 
-// A relay that fails in any way: the question goes to another one, and nothing
+// A relay that fails in any way: the request goes to another one, and nothing
 // that is known is lost or told to be lost.
 TEST(TableSourceTest, LeavesARelayThatFails) {
   SourceRig rig;
@@ -125,15 +125,15 @@
   EXPECT_EQ(rig.got[0].rows.size(), 1U);
 }
 
-// An answer to an earlier question, or from one that was not asked.
-TEST(TableSourceTest, PassesOverAnswersToOtherQuestions) {
+// An answer to an earlier request, or from one that was not asked.
+TEST(TableSourceTest, PassesOverAnswersToOtherRequests) {
   SourceRig rig;
   rig.Learn(5);
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
   rig.source.OnReply(rig.now, "a",
-                     {"t", rig.question.sequence - 1, SourceRig::Rows(9, 0)});
+                     {"t", rig.request.sequence - 1, SourceRig::Rows(9, 0)});
   rig.source.OnReply(rig.now, "b",
-                     {"t", rig.question.sequence, SourceRig::Rows(9, 0)});
+                     {"t", rig.request.sequence, SourceRig::Rows(9, 0)});
   EXPECT_TRUE(rig.got.empty());
 }
 
@@ -242,7 +242,7 @@
   EXPECT_EQ(rig.got.back().kind, TableAnswer::Kind::kRows);
   EXPECT_EQ(rig.got.back().version, 7U);
   EXPECT_TRUE(rig.log.Saw("table_late"));
-  // Nothing that comes after it is an answer to the same question.
+  // Nothing that comes after it is an answer to the same request.
   const std::size_t before = rig.got.size();
   rig.StoreAnswers(StoreRows(8));
   EXPECT_EQ(rig.got.size(), before);
@@ -259,9 +259,9 @@
   rig.Reply(gone);
   EXPECT_TRUE(rig.got.empty());
   ASSERT_EQ(rig.store_asked, 1);
-  EXPECT_FALSE(rig.store_questions.back().query.whole);
-  EXPECT_EQ(rig.store_questions.back().query.after, 5U);
-  EXPECT_EQ(rig.store_questions.back().query.wait, 0);
+  EXPECT_FALSE(rig.store_requests.back().query.whole);
+  EXPECT_EQ(rig.store_requests.back().query.after, 5U);
+  EXPECT_EQ(rig.store_requests.back().query.wait, 0);
   rig.StoreAnswers({});
   ASSERT_EQ(rig.got.size(), 1U);
   EXPECT_EQ(rig.got[0].kind, TableAnswer::Kind::kFailed);
@@ -271,22 +271,22 @@
   EXPECT_EQ(rig.got[1].kind, TableAnswer::Kind::kHistoryGone);
 }
 
-// The failure of a question whose place a newer one took tells nothing.
-TEST(TableSourceTest, AReplacedQuestionThatFailsIsNoFailure) {
+// The failure of a request whose place a newer one took tells nothing.
+TEST(TableSourceTest, AReplacedRequestThatFailsIsNoFailure) {
   SourceRig rig;
   rig.Learn(5);
   for (const char* it : {"a", "b", "c"}) {
-    GatewayBeat beat;
-    beat.leaving = true;
-    rig.peers.OnBeat(rig.now, it, 1, beat);
+    GatewayHeartbeat heartbeat;
+    heartbeat.leaving = true;
+    rig.peers.OnGatewayHeartbeat(rig.now, it, 1, heartbeat);
   }
   rig.source.ReadChanges(rig.now, "t", 5, 2 * kStale);
   ASSERT_EQ(rig.store_asked, 1);
   rig.now += kStale;
   rig.source.OnTick(rig.now);
   ASSERT_EQ(rig.store_asked, 2);
-  EXPECT_EQ(rig.store_questions.back().query.wait, 0);
-  rig.source.OnStoreAnswer(rig.now, rig.store_questions.front().id, {});
+  EXPECT_EQ(rig.store_requests.back().query.wait, 0);
+  rig.source.OnStoreAnswer(rig.now, rig.store_requests.front().id, {});
   EXPECT_TRUE(rig.got.empty());
   EXPECT_LT(rig.source.store_failed_at(), 0);
   rig.StoreAnswers(StoreRows(6));
