--- a/src/coordination/gateway/attempt_budget.h
+++ b/src/coordination/gateway/attempt_budget.h
@@ -1,13 +1,14 @@
-// Bounds how often one service is sent a request again, over a sliding window
-// and over all entries together.
+// Limits the retries to one service over a sliding window, summed over all
+// gateways.
 //
-// Load pattern: replicas of a service refuse or lose calls, and every entry
-// sends each request again at once. Without a bound that all entries keep in
-// sum, the repeats are a second load on a service that fails under the first.
-// Each entry spends an equal part of the fixed allowance and its share of the
-// requests that it sent itself, so that the sum holds without messages. Half of
-// both is left unspent: an entry that restarts forgets what it has spent, and
-// the number of entries is a belief.
+// When replicas of a service refuse or lose requests, every gateway retries at
+// once. Without a limit on the sum over all gateways, the retries put a second
+// load on a service that already fails under the first. Each gateway may use an
+// equal part of the fixed allowance, plus a share of the requests that it sent
+// itself, so the limit on the sum holds without messages between gateways. Half
+// of both parts stays unused as a reserve, because a gateway that restarts
+// loses its count of retries and because the number of gateways known here may
+// be wrong.
 #ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_ATTEMPT_BUDGET_H_
 #define ACACIACHUTE_SRC_COORDINATION_GATEWAY_ATTEMPT_BUDGET_H_
 
@@ -21,42 +22,50 @@
 
 class AttemptBudget {
  public:
-  static constexpr double kSpend = 0.5;
+  // Share of the computed allowance that this gateway uses; the remainder is
+  // the reserve described above.
+  static constexpr double kUsableShare = 0.5;
 
   void SetLimits(const AttemptBudgetLimits& limits) { limits_ = limits; }
-  // Entries that are believed to share the allowance, this one included.
-  void SetEntries(std::size_t n) { entries_ = std::max<std::size_t>(1, n); }
+  // Number of gateways, as known here, that share the fixed allowance. Includes
+  // this gateway.
+  void SetEntries(std::size_t n) {
+    gateway_count_ = std::max<std::size_t>(1, n);
+  }
 
   void OnRequest(TimeUs now) { Add(&requests_, now, 1); }
 
-  // Whether `n` repeats may be sent; they are counted if so.
+  // Returns whether `n` retries may be sent now; counts them if so.
   bool Take(TimeUs now, std::uint32_t n = 1) {
     const double allowed =
-        kSpend * (limits_.slack / static_cast<double>(entries_) +
-                  limits_.ratio * Sum(&requests_, now));
-    if (Sum(&repeats_, now) + n > allowed) {
+        kUsableShare * (limits_.slack / static_cast<double>(gateway_count_) +
+                        limits_.ratio * Sum(&requests_, now));
+    if (Sum(&retries_, now) + n > allowed) {
       return false;
     }
-    Add(&repeats_, now, n);
+    Add(&retries_, now, n);
     return true;
   }
 
  private:
+  // Events counted from `start` on, for `kBucketDuration`.
   struct Bucket {
     TimeUs start = 0;
     std::uint32_t count = 0;
   };
-  static constexpr DurationUs kBucket = 250 * kMillisecond;
+  static constexpr DurationUs kBucketDuration = 250 * kMillisecond;
 
+  // Counts `n` events at time `now`.
   static void Add(std::deque<Bucket>* buckets, TimeUs now, std::uint32_t n) {
-    if (buckets->empty() || now - buckets->back().start >= kBucket) {
+    if (buckets->empty() || now - buckets->back().start >= kBucketDuration) {
       buckets->push_back({now, 0});
     }
     buckets->back().count += n;
   }
+  // Drops buckets older than the window and returns the sum of the others.
   double Sum(std::deque<Bucket>* buckets, TimeUs now) const {
     while (!buckets->empty() &&
-           now - buckets->front().start > limits_.window + kBucket) {
+           now - buckets->front().start > limits_.window + kBucketDuration) {
       buckets->pop_front();
     }
     double sum = 0;
@@ -67,9 +76,9 @@
   }
 
   AttemptBudgetLimits limits_;
-  std::size_t entries_ = 1;
+  std::size_t gateway_count_ = 1;
   std::deque<Bucket> requests_;
-  std::deque<Bucket> repeats_;
+  std::deque<Bucket> retries_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/gateway/evacuations.cc
+++ b/src/coordination/gateway/evacuations.cc
@@ -4,7 +4,8 @@
 
 namespace acaciachute {
 
-void Evacuations::Tell(const EvacuationOrder& order, std::string_view state) {
+void Evacuations::LogState(const EvacuationOrder& order,
+                           std::string_view state) {
   metrics_->Count("acaciachute_gateway_evacuations_total", state);
   log_->Write("evacuation", {{"domain", order.domain},
                              {"state", state},
@@ -12,54 +13,55 @@
                              {"replicas", directory_->CountIn(order.domain)}});
 }
 
-Evacuations::Known* Evacuations::NewsOf(const EvacuationOrder& order) {
-  Known& known = known_[order.domain];
-  if (order.version < known.version) {
+Evacuations::DomainState* Evacuations::AcceptVersion(
+    const EvacuationOrder& order) {
+  DomainState& domain_state = domains_[order.domain];
+  if (order.version < domain_state.version) {
     log_->Write("evacuation_passed_over", {{"domain", order.domain},
                                            {"row_version", order.version},
-                                           {"known", known.version}});
+                                           {"known", domain_state.version}});
     return nullptr;
   }
-  known.version = order.version;
-  return &known;
+  domain_state.version = order.version;
+  return &domain_state;
 }
 
 bool Evacuations::OnOrder(const EvacuationOrder& order) {
-  Known* known = NewsOf(order);
-  if (known == nullptr || known->in_force) {
-    return false;  // Ordered again: nothing changes but the version.
+  DomainState* domain_state = AcceptVersion(order);
+  if (domain_state == nullptr || domain_state->in_force) {
+    return false;  // Already evacuated; only the version is updated.
   }
-  known->in_force = true;
+  domain_state->in_force = true;
   directory_->Evacuate(order.domain);
-  Tell(order, "ordered");
+  LogState(order, "ordered");
   return true;
 }
 
 void Evacuations::OnTakenBack(TimeUs now, const EvacuationOrder& order) {
-  Known* known = NewsOf(order);
-  if (known == nullptr || !known->in_force) {
+  DomainState* domain_state = AcceptVersion(order);
+  if (domain_state == nullptr || !domain_state->in_force) {
     return;
   }
-  known->in_force = false;
+  domain_state->in_force = false;
   directory_->TakeBack(now, order.domain);
-  Tell(order, "taken_back");
+  LogState(order, "taken_back");
 }
 
 bool Evacuations::OnTable(TimeUs now,
                           const std::vector<EvacuationOrder>& orders,
                           std::uint64_t version) {
-  bool emptied = false;
-  std::set<std::string> standing;
+  bool newly_evacuated = false;
+  std::set<std::string> listed_domains;
   for (const EvacuationOrder& it : orders) {
-    standing.insert(it.domain);
-    emptied = OnOrder(it) || emptied;
+    listed_domains.insert(it.domain);
+    newly_evacuated = OnOrder(it) || newly_evacuated;
   }
-  for (const auto& [domain, known] : known_) {
-    if (known.in_force && !standing.contains(domain)) {
+  for (const auto& [domain, domain_state] : domains_) {
+    if (domain_state.in_force && !listed_domains.contains(domain)) {
       OnTakenBack(now, {domain, version});
     }
   }
-  return emptied;
+  return newly_evacuated;
 }
 
 }  // namespace acaciachute
--- a/src/coordination/gateway/evacuations.h
+++ b/src/coordination/gateway/evacuations.h
@@ -1,12 +1,13 @@
-// The operator's orders to empty failure domains.
+// Applies the operator's orders to evacuate failure domains.
 //
-// Failure: an order is heard late, forgotten, or undone by an older row.
-// Symptom: requests reach replicas that are being worked on, or return to a
-// failure domain that is still empty. Orders lie in the same table as the
-// configuration, so a gateway never serves before it knows them, and what is
-// known has the configuration's age. Rows carry versions; an older one than the
-// last that was taken for a failure domain changes nothing. What was begun
-// there ends there, and results that lie there are still read.
+// If an evacuation order arrived late, got lost or was undone by an older row,
+// requests would reach replicas that are under maintenance, or would return to
+// a failure domain that is still evacuated. The orders are rows of the same
+// table as the configuration, so a gateway has read them before it serves its
+// first request, and they are as recent as its configuration. Each row has a
+// version; a row older than the last one applied to the same failure domain is
+// ignored. Requests in progress in an evacuated domain finish there, and stage
+// results stored there can still be read.
 #ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_EVACUATIONS_H_
 #define ACACIACHUTE_SRC_COORDINATION_GATEWAY_EVACUATIONS_H_
 
@@ -22,10 +23,11 @@
 
 namespace acaciachute {
 
-// A row of the operator's: the failure domain is to be empty while it stands.
+// A row of the operator's table. The failure domain stays evacuated as long as
+// the row exists.
 struct EvacuationOrder {
   std::string domain;
-  std::uint64_t version = 0;  // Of the row, or of its removal.
+  std::uint64_t version = 0;  // Version of the row, or of its removal.
 };
 
 class Evacuations {
@@ -33,28 +35,36 @@
   Evacuations(ReplicaDirectory* directory, Metrics* metrics, EventLog* log)
       : directory_(directory), metrics_(metrics), log_(log) {}
 
-  // Each returns whether another failure domain is empty now.
+  // Applies one row. Returns whether the failure domain was not evacuated
+  // before.
   bool OnOrder(const EvacuationOrder& order);
-  // All orders that stand at `version` of the table; the others were removed.
+  // Applies the complete table as of `version`: evacuates the domains in
+  // `orders` and ends the evacuation of all others. Returns whether a domain
+  // was newly evacuated.
   bool OnTable(TimeUs now,
                const std::vector<EvacuationOrder>& orders,
                std::uint64_t version);
+  // Applies the removal of a row: the evacuation ends.
   void OnTakenBack(TimeUs now, const EvacuationOrder& order);
 
  private:
-  struct Known {
+  // State of one failure domain.
+  struct DomainState {
+    // Version of the last row or removal that was applied.
     std::uint64_t version = 0;
+    // Whether the domain is evacuated.
     bool in_force = false;
   };
 
-  // Null, with a line in the log, when more than the order's version is known.
-  Known* NewsOf(const EvacuationOrder& order);
-  void Tell(const EvacuationOrder& order, std::string_view state);
+  // Records the order's version and returns the state of its failure domain.
+  // Returns null, and logs it, if a newer version was already applied.
+  DomainState* AcceptVersion(const EvacuationOrder& order);
+  void LogState(const EvacuationOrder& order, std::string_view state);
 
   ReplicaDirectory* const directory_;
   Metrics* const metrics_;
   EventLog* const log_;
-  std::map<std::string, Known> known_;  // By failure domain.
+  std::map<std::string, DomainState> domains_;  // By failure domain.
 };
 
 }  // namespace acaciachute
--- a/src/coordination/gateway/event_splitter.cc
+++ b/src/coordination/gateway/event_splitter.cc
@@ -7,7 +7,7 @@
 namespace acaciachute {
 namespace {
 
-// The last `id:` field of whole events.
+// Returns the last `id:` field in `events`, which holds complete events only.
 std::optional<std::uint64_t> LastId(std::string_view events) {
   std::size_t at = events.rfind("\nid:");
   if (at == std::string_view::npos) {
@@ -18,33 +18,35 @@
   } else {
     ++at;
   }
-  constexpr std::string_view kName = "id:";
+  constexpr std::string_view kFieldName = "id:";
   const std::size_t end = events.find_first_of("\r\n", at);
-  return ParseNumber<std::uint64_t>(
-      Trim(events.substr(at + kName.size(), end - at - kName.size())));
+  return ParseNumber<std::uint64_t>(Trim(
+      events.substr(at + kFieldName.size(), end - at - kFieldName.size())));
 }
 
 }  // namespace
 
 std::string EventSplitter::Add(std::string_view bytes) {
-  // An end may lie across the border between two parts.
-  constexpr std::size_t kLongestEnd = 4;
-  const std::size_t from =
-      rest_.size() < kLongestEnd ? 0 : rest_.size() - kLongestEnd;
-  rest_ += bytes;
+  // A terminator may be split across two parts, so the search starts a few
+  // bytes before the new ones.
+  constexpr std::size_t kMaxTerminatorBytes = 4;
+  const std::size_t from = partial_event_.size() < kMaxTerminatorBytes
+                               ? 0
+                               : partial_event_.size() - kMaxTerminatorBytes;
+  partial_event_ += bytes;
   std::size_t end = 0;
-  for (const std::string_view mark : {"\n\n", "\r\n\r\n"}) {
-    const std::size_t at = rest_.rfind(mark);
+  for (const std::string_view terminator : {"\n\n", "\r\n\r\n"}) {
+    const std::size_t at = partial_event_.rfind(terminator);
     if (at != std::string::npos && at >= from) {
-      end = std::max(end, at + mark.size());
+      end = std::max(end, at + terminator.size());
     }
   }
-  std::string whole = rest_.substr(0, end);
-  rest_.erase(0, end);
-  if (const auto id = LastId(whole)) {
-    last_id_ = id;
+  std::string complete_events = partial_event_.substr(0, end);
+  partial_event_.erase(0, end);
+  if (const auto id = LastId(complete_events)) {
+    last_event_id_ = id;
   }
-  return whole;
+  return complete_events;
 }
 
 }  // namespace acaciachute
--- a/src/coordination/gateway/event_splitter.h
+++ b/src/coordination/gateway/event_splitter.h
@@ -1,9 +1,9 @@
-// Cuts a stream of server-sent events into whole events.
+// Splits a stream of server-sent events into complete events.
 //
-// Failure: a replica breaks off in the middle of an event, and the stream goes
-// on at another replica. Symptom: the client gets half an event joined to the
-// next, or one twice. Only whole events are passed on, and the number of the
-// last one says where to go on.
+// When a replica breaks off in the middle of an event and another replica
+// resumes the stream, passing on the partial event would give the client a
+// corrupt event or the same event twice. Only complete events are passed on,
+// and the id of the last one tells the next replica where to resume.
 #ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_EVENT_SPLITTER_H_
 #define ACACIACHUTE_SRC_COORDINATION_GATEWAY_EVENT_SPLITTER_H_
 
@@ -16,17 +16,18 @@
 
 class EventSplitter {
  public:
-  // The whole events that `bytes` completes, as they came; may be empty.
+  // Returns the events that `bytes` completes, unchanged; may be empty.
   std::string Add(std::string_view bytes);
-  // Bytes of an event that is not complete.
-  const std::string& rest() const { return rest_; }
-  std::optional<std::uint64_t> last_id() const { return last_id_; }
-  // Forgets an event that will not be completed.
-  void DropRest() { rest_.clear(); }
+  // Bytes received of an event that is not complete yet.
+  const std::string& partial_event() const { return partial_event_; }
+  // Id of the last complete event that had one.
+  std::optional<std::uint64_t> last_event_id() const { return last_event_id_; }
+  // Discards the partial event, because its remaining bytes will not arrive.
+  void DiscardPartialEvent() { partial_event_.clear(); }
 
  private:
-  std::string rest_;
-  std::optional<std::uint64_t> last_id_;
+  std::string partial_event_;
+  std::optional<std::uint64_t> last_event_id_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -26,36 +26,36 @@
   cold.SetBound(options.cold, options.replica_beat);
 }
 
-ServingRequest* Gateway::Impl::ByExchange(ExchangeId id) {
+ServingRequest* Gateway::Impl::FindByExchange(ExchangeId id) {
   const auto it = requests.find(id);
   return it == requests.end() ? nullptr : it->second.get();
 }
 
-ServingRequest* Gateway::Impl::ByCall(CallId id) {
+ServingRequest* Gateway::Impl::FindByCall(CallId id) {
   const auto it = by_call.find(id);
   return it == by_call.end() ? nullptr : it->second;
 }
 
-PlainChoice& Gateway::Impl::Plain(const std::string& service) {
-  auto& choice = plain[service];
+PlainChoice& Gateway::Impl::PlainChoiceOf(const std::string& service) {
+  auto& choice = plain_choices[service];
   if (choice == nullptr) {
     choice = std::make_unique<PlainChoice>(directory, &cold, random);
   }
   return *choice;
 }
 
-AttemptBudget& Gateway::Impl::Budget(const std::string& service) {
+AttemptBudget& Gateway::Impl::ServiceBudget(const std::string& service) {
   const auto [it, inserted] = budgets.try_emplace(service);
   if (inserted) {
     it->second.SetLimits(options.budget);
-    it->second.SetEntries(entries);
+    it->second.SetEntries(gateway_count);
   }
   return it->second;
 }
 
-void Gateway::Impl::RefuseAtOnce(ExchangeId id,
-                                 const ClientCall& call,
-                                 OwnAnswer answer) {
+void Gateway::Impl::RefuseUnadmitted(ExchangeId id,
+                                     const ClientCall& call,
+                                     OwnAnswer answer) {
   metrics->Count("acaciachute_gateway_refused_total", Name(answer.reason));
   log->Write(
       "refused",
@@ -73,10 +73,10 @@
 
 void Gateway::Impl::Refuse(ServingRequest* request, OwnAnswer answer) {
   const ExchangeId id = request->id;
-  // Failure: a try that may have run is lost, and the next one finds no replica
-  // or no time. Symptom: the client is told that its request has not run. What
-  // the last try came to says nothing of the one before.
-  if (request->runs > 0 && answer.verdict == Verdict::kNotRun) {
+  // An earlier attempt may have run even if the last one did not, for example
+  // because no replica was available or no time was left for another attempt.
+  // The client must not be told "not run" then.
+  if (request->possible_runs > 0 && answer.verdict == Verdict::kNotRun) {
     answer.reason = Refusal::kUpstreamFailed;
     answer.verdict = Verdict::kMayHaveRun;
   }
@@ -84,7 +84,7 @@
       Info(answer.reason).later_may_help) {
     answer.retry_after = RetryAfter(*request);
   }
-  const bool begun = request->begun;
+  const bool stream_begun = request->stream_begun;
   log->Write("gave_up",
              {{"id", request->call.id},
               {"reason", Name(answer.reason)},
@@ -92,14 +92,15 @@
               {"detail", answer.detail},
               {"retry_after_ms", answer.retry_after / kMillisecond}});
   Finish(request, Name(answer.reason), Info(answer.reason).http_status);
-  if (begun) {
+  if (stream_begun) {
     ports->Break(id);
   } else {
     ports->Refuse(id, answer);
   }
 }
 
-// Takes the request off every table; `request` is gone afterwards.
+// Logs the request and removes it from all indexes. `request` is invalid after
+// this call.
 void Gateway::Impl::Finish(ServingRequest* request,
                            std::string_view outcome,
                            int status) {
@@ -112,61 +113,63 @@
   metrics->Count("acaciachute_gateway_requests_total", outcome);
   metrics->Observe("acaciachute_gateway_request_seconds", request->route->name,
                    now - request->received_at);
-  log->Write("request",
-             {{"id", request->call.id},
-              {"route", request->route->name},
-              {"account", request->account != nullptr ? request->account->name
-                                                      : std::string()},
-              {"outcome", outcome},
-              {"status", status},
-              {"config", request->config->version},
-              {"replica", request->attempt.replica.id.name},
-              {"runs", request->runs},
-              {"tried", request->tried.size()},
-              {"list_ms", request->attempt.list_age / kMillisecond},
-              {"connect_ms", request->attempt.connect / kMillisecond},
-              {"admitted", Name(request->admission)},
-              {"expected_wait_ms", request->expected_wait / kMillisecond},
-              {"stages_ms", request->stage_times},
-              {"staged_ms",
-               request->staged
-                   ? (request->staged_at - request->received_at) / kMillisecond
-                   : -1},
-              {"first_ms",
-               request->begun
-                   ? (request->begun_at - request->received_at) / kMillisecond
-                   : -1},
-              {"total_ms", (now - request->received_at) / kMillisecond},
-              {"target_ms", request->route->target / kMillisecond},
-              {"deadline_ms", request->call.deadline / kMillisecond}});
-  deadlines.erase({request->due_at, request->id});
+  log->Write(
+      "request",
+      {{"id", request->call.id},
+       {"route", request->route->name},
+       {"account",
+        request->account != nullptr ? request->account->name : std::string()},
+       {"outcome", outcome},
+       {"status", status},
+       {"config", request->config->version},
+       {"replica", request->attempt.replica.id.name},
+       {"runs", request->possible_runs},
+       {"tried", request->tried.size()},
+       {"list_ms", request->attempt.replica_list_age / kMillisecond},
+       {"connect_ms", request->attempt.connect_time / kMillisecond},
+       {"admitted", Name(request->admission)},
+       {"expected_wait_ms", request->expected_wait / kMillisecond},
+       {"stages_ms", request->stage_times},
+       {"staged_ms",
+        request->stages_done
+            ? (request->stages_done_at - request->received_at) / kMillisecond
+            : -1},
+       {"first_ms",
+        request->stream_begun
+            ? (request->stream_begun_at - request->received_at) / kMillisecond
+            : -1},
+       {"total_ms", (now - request->received_at) / kMillisecond},
+       {"target_ms", request->route->target / kMillisecond},
+       {"deadline_ms", request->call.deadline / kMillisecond}});
+  deadlines.erase({request->expires_at, request->id});
   if (request->parked) {
     parked.erase({request->priority, request->received_at, request->id});
   }
   if (request->awaits_cold) {
     awaiting_cold.erase({request->priority, request->received_at, request->id});
   }
-  const auto it = by_client_id.find(request->call.id);
-  if (it != by_client_id.end() && it->second == request) {
-    by_client_id.erase(it);
+  const auto it = by_request_id.find(request->call.id);
+  if (it != by_request_id.end() && it->second == request) {
+    by_request_id.erase(it);
   }
   requests.erase(request->id);
 }
 
-void Gateway::Impl::SetDue(ServingRequest* request, TimeUs due_at) {
-  deadlines.erase({request->due_at, request->id});
-  request->due_at = due_at;
-  deadlines.emplace(due_at, request->id);
+void Gateway::Impl::SetExpiry(ServingRequest* request, TimeUs expires_at) {
+  deadlines.erase({request->expires_at, request->id});
+  request->expires_at = expires_at;
+  deadlines.emplace(expires_at, request->id);
 }
 
 void Gateway::Impl::Expire(ServingRequest* request) {
-  if (request->attempt.call == 0 && request->runs == 0) {
-    Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
-                     "the time was over before a replica was reached"});
+  if (request->attempt.call == 0 && request->possible_runs == 0) {
+    Refuse(request,
+           {Refusal::kFull, Verdict::kNotRun, 0,
+            "the deadline passed before the request was sent to a replica"});
     return;
   }
   Refuse(request, {Refusal::kLate, Verdict::kMayHaveRun, 0,
-                   "the replica did not answer in time"});
+                   "the replica did not answer before the deadline"});
 }
 
 Gateway::Gateway(GatewayOptions options,
@@ -221,7 +224,7 @@
   }
   impl_->cold.OnReplicaGone(replica.id);
   impl_->engines.OnReplicaGone(replica.id);
-  for (auto& [service, choice] : impl_->plain) {
+  for (auto& [service, choice] : impl_->plain_choices) {
     choice->OnReplicaGone(replica.id);
   }
   if (restarted) {
@@ -237,8 +240,8 @@
     }
   }
   for (const ExchangeId id : waiting) {
-    // Refusing one may end others.
-    ServingRequest* request = impl_->ByExchange(id);
+    // Refusing a request may end others, so each is looked up again.
+    ServingRequest* request = impl_->FindByExchange(id);
     OwnAnswer refusal;
     if (request != nullptr && impl_->HasNoReplica(*request, &refusal)) {
       impl_->Refuse(request, std::move(refusal));
@@ -251,13 +254,13 @@
 }
 
 void Gateway::OnGone(ExchangeId id) {
-  if (auto* request = impl_->ByExchange(id)) {
+  if (auto* request = impl_->FindByExchange(id)) {
     impl_->Finish(request, Name(Refusal::kCancelled), 0);
   }
 }
 
 void Gateway::OnWritten(ExchangeId id) {
-  auto* request = impl_->ByExchange(id);
+  auto* request = impl_->FindByExchange(id);
   if (request != nullptr && request->attempt.paused) {
     request->attempt.paused = false;
     impl_->ports->SetReading(request->attempt.call, true);
@@ -265,38 +268,38 @@
 }
 
 void Gateway::OnReplicaConnected(CallId id) {
-  if (ServingRequest* request = impl_->ByCall(id)) {
+  if (ServingRequest* request = impl_->FindByCall(id)) {
     Attempt& attempt = request->attempt;
-    attempt.connect = impl_->ports->Now() - attempt.sent_at;
+    attempt.connect_time = impl_->ports->Now() - attempt.sent_at;
     impl_->metrics->Observe("acaciachute_gateway_connect_seconds",
-                            request->service, attempt.connect);
+                            request->service, attempt.connect_time);
   }
 }
 
 void Gateway::OnReplicaHead(CallId id, ReplicaHead head) {
-  if (auto* request = impl_->ByCall(id)) {
+  if (auto* request = impl_->FindByCall(id)) {
     impl_->OnHead(request, std::move(head));
   }
 }
 void Gateway::OnReplicaBody(CallId id, std::string_view bytes) {
-  if (auto* request = impl_->ByCall(id)) {
+  if (auto* request = impl_->FindByCall(id)) {
     impl_->OnBody(request, bytes);
   }
 }
 void Gateway::OnReplicaEnd(CallId id) {
-  if (auto* request = impl_->ByCall(id)) {
+  if (auto* request = impl_->FindByCall(id)) {
     impl_->OnEnd(request);
   }
 }
 void Gateway::OnReplicaFailed(CallId id, bool sent, std::string_view why) {
-  if (auto* request = impl_->ByCall(id)) {
+  if (auto* request = impl_->FindByCall(id)) {
     impl_->OnFailed(request, sent, why);
   }
 }
 
 void Gateway::OnPiece(const PieceResult& result) {
-  const auto it = impl_->by_client_id.find(result.key.request);
-  if (it == impl_->by_client_id.end()) {
+  const auto it = impl_->by_request_id.find(result.key.request);
+  if (it == impl_->by_request_id.end()) {
     if (!result.handle.empty()) {
       impl_->desk->Free({result.handle});
     }
@@ -306,8 +309,9 @@
   impl_->metrics->Count("acaciachute_gateway_pieces_total",
                         Name(result.outcome));
   if (result.outcome == PieceOutcome::kInputGone) {
-    impl_->RestartStages(
-        request, StrCat("stage ", result.key.stage, " found a result gone"));
+    impl_->RestartStages(request,
+                         StrCat("stage ", result.key.stage,
+                                ": an input result is no longer available"));
     return;
   }
   if (result.outcome != PieceOutcome::kMade) {
@@ -333,29 +337,29 @@
 void Gateway::RefuseAll() {
   std::vector<ServingRequest*> open;
   for (const auto& [id, request] : impl_->requests) {
-    if (!request->begun) {
+    if (!request->stream_begun) {
       open.push_back(request.get());
     }
   }
   for (ServingRequest* it : open) {
-    const bool sent = it->attempt.call != 0 || it->runs > 0;
+    const bool sent = it->attempt.call != 0 || it->possible_runs > 0;
     impl_->Refuse(it, {sent ? Refusal::kUpstreamFailed : Refusal::kLeaving,
                        sent ? Verdict::kMayHaveRun : Verdict::kNotRun, 0,
-                       "the node leaves"});
+                       "the gateway is shutting down"});
   }
 }
 
 void Gateway::OnTick() {
   impl_->BeginParked();
-  impl_->RetryAwaiting();
+  impl_->RetryAwaitingCold();
   const TimeUs now = impl_->ports->Now();
   while (!impl_->deadlines.empty() && impl_->deadlines.begin()->first <= now) {
-    impl_->Expire(impl_->ByExchange(impl_->deadlines.begin()->second));
+    impl_->Expire(impl_->FindByExchange(impl_->deadlines.begin()->second));
   }
 }
 
 void Gateway::SetEntries(std::size_t n) {
-  impl_->entries = n;
+  impl_->gateway_count = n;
   for (auto& [service, budget] : impl_->budgets) {
     budget.SetEntries(n);
   }
@@ -373,14 +377,14 @@
   return &impl_->engines;
 }
 AttemptBudget* Gateway::BudgetOf(const std::string& service) {
-  return &impl_->Budget(service);
+  return &impl_->ServiceBudget(service);
 }
 bool Gateway::configured() const {
   return impl_->config != nullptr;
 }
 bool Gateway::current() const {
   return impl_->config != nullptr &&
-         (!impl_->config->needs_keys || impl_->Current());
+         (!impl_->config->needs_keys || impl_->ConfigIsConfirmed());
 }
 std::size_t Gateway::in_progress() const {
   return impl_->requests.size();
--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -1,12 +1,12 @@
-// Serves clients' requests straight to replicas: finds the route and the client
-// account, has the stages made, chooses the replica, passes the answer on, and
-// refuses what cannot be served.
+// Serves clients' requests by sending them directly to replicas: finds the
+// route and the client account, has the route's stages run, chooses a replica,
+// passes its answer on, and refuses requests that cannot be served.
 //
-// A request runs at most once unless it may be repeated: it is sent again only
-// when no byte of it left, when the replica itself said that it did not run it,
-// or when its route allows repeats. A refusal that says "not run" is given in
-// these cases only. Everything here is without I/O; time, connections and
-// timers come through `GatewayPorts`, so that a failure is a short test.
+// A request runs at most once unless its route allows repeats. Otherwise it is
+// sent again only if no byte of it was sent, or if the replica itself answered
+// that it did not run it. A refusal carries the verdict "not run" in these
+// cases only. This class does no I/O; time, connections and timers come through
+// `GatewayOutput`, so that tests can inject failures.
 #ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_GATEWAY_H_
 #define ACACIACHUTE_SRC_COORDINATION_GATEWAY_GATEWAY_H_
 
@@ -30,15 +30,15 @@
 
 namespace acaciachute {
 
-// This system's own answer to a client, in place of a replica's.
+// An answer to a client made by this gateway, not by a replica.
 struct OwnAnswer {
   Refusal reason = Refusal::kNone;
   Verdict verdict = Verdict::kNotRun;
-  DurationUs retry_after = 0;  // Zero: a later try does not help.
+  DurationUs retry_after = 0;  // Zero: retrying later does not help.
   std::string detail;
 };
 
-// One attempt of a request at one replica.
+// One attempt to run a request at one replica.
 struct SendOrder {
   const ClientCall* call = nullptr;
   ReplicaId replica;
@@ -46,72 +46,90 @@
   DurationUs time_left = 0;
   std::string account;  // Empty when the route needs none.
   std::vector<std::string> inputs;
-  std::optional<std::uint32_t> priority;  // For engines.
+  std::optional<std::uint32_t> priority;  // Sent to engines only.
+  // Id of the last event that the client has; the replica resumes the stream
+  // after it.
   std::optional<std::uint64_t> resume_after;
-  // Whether a kept connection that turns out closed would cost the request: it
-  // could not be told from one that was lost after it ran.
+  // Whether the request may run twice. If not, the transport must avoid idle
+  // connections that the replica may have closed: a request lost on such a
+  // connection cannot be distinguished from one lost after it ran.
   bool may_repeat = false;
-  // Idle connections to the replica that may stay open; none: as many as the
-  // transport keeps.
+  // Maximum number of idle connections to the replica that stay open; unset:
+  // the transport's own limit applies.
   std::optional<std::size_t> most_idle_connections;
 };
 
 class GatewayPorts {
  public:
   virtual ~GatewayPorts() = default;
-  // Counts on while the host is suspended, because clients' deadlines do.
+  // Must advance while the host is suspended, because clients' deadlines do
+  // too.
   virtual TimeUs Now() = 0;
 
+  // Sends the gateway's own answer to the client.
   virtual void Refuse(ExchangeId id, const OwnAnswer& answer) = 0;
+  // Passes a replica's complete answer to the client.
   virtual void Answer(ExchangeId id,
                       const ReplicaHead& head,
                       std::string_view body) = 0;
   virtual void BeginStream(ExchangeId id, const ReplicaHead& head) = 0;
   virtual void StreamData(ExchangeId id, std::string_view bytes) = 0;
   virtual void EndStream(ExchangeId id) = 0;
+  // Closes the client's connection in the middle of a stream, so that the
+  // client does not take the stream for complete.
   virtual void Break(ExchangeId id) = 0;
-  // Bytes that the client has not taken yet.
+  // Bytes queued for the client that are not sent yet.
   virtual std::size_t Unsent(ExchangeId id) = 0;
 
-  virtual CallId Send(const SendOrder& order) = 0;
+  // Sends an attempt to its replica; the events of the returned call come back
+  // through `Gateway::OnReplica...`.
+  virtual CallId Send(const SendOrder& attempt_request) = 0;
   virtual void Cancel(CallId id) = 0;
+  // Stops or resumes reading the replica's answer.
   virtual void SetReading(CallId id, bool reading) = 0;
 };
 
 struct GatewayOptions {
   NodeId node;
   std::string domain;  // Failure domain of this host.
-  // A key is used only while the configuration was confirmed this recently.
+  // Maximum age of the last confirmation that the configuration is the newest;
+  // beyond it, API keys are not accepted.
   DurationUs key_age = 4 * kSecond;
   AttemptBudgetLimits budget;
   ColdBound cold;
+  // Period at which a replica rewrites its row.
   DurationUs replica_beat = 1200 * kMillisecond;
   bool operator==(const GatewayOptions&) const = default;
 };
 
 class Gateway {
  public:
-  // A client that takes its answer slowly makes the replica wait instead of
-  // filling this process's memory.
-  static constexpr std::size_t kMostUnsent = 128 << 10;
-  // A plain answer is passed on whole; one above this fails.
-  static constexpr std::size_t kMostAnswer = 8 << 20;
-  // Replicas asked for one request, those that refused included.
-  static constexpr std::size_t kMostReplicas = 3;
-  // Times that a request's stages are begun again because a result was gone.
-  static constexpr int kMostRestarts = 2;
-  // Load pattern: a service of few replicas, each called a few times a second
-  // by a hundred gateways. Each gateway kept the connections of its last calls
-  // open; together they filled the replicas, which reset further ones, and
-  // requests that must run once were lost. Idle connections of all gateways
-  // together take at most this share of what a replica accepts; the rest is for
-  // calls in progress and for connections that are being closed.
-  static constexpr double kIdleShare = 0.7;
-  // How long a request waits for its part of what cold replicas take: one
-  // comes free a second after the answer that holds it.
-  static constexpr DurationUs kMostColdWait = 1500 * kMillisecond;
-  // Of the time from a client to here, which its deadline includes.
-  static constexpr DurationUs kLink = 3 * kMillisecond;
+  // Above this many unsent bytes for one client, the gateway stops reading from
+  // the replica, so that a slow client cannot fill this process's memory.
+  static constexpr std::size_t kMaxUnsentBytes = 128 << 10;
+  // Limit on the body of a plain answer, which is buffered until it is
+  // complete; a longer one fails.
+  static constexpr std::size_t kMaxAnswerBytes = 8 << 20;
+  // Limit on the replicas that one request is sent to, including those that
+  // refused it.
+  static constexpr std::size_t kMaxReplicasPerRequest = 3;
+  // Limit on the restarts of a request's stages after a result was lost.
+  static constexpr int kMaxStageRestarts = 2;
+  // Share of the connections that a replica accepts which the idle connections
+  // of all gateways together may use; the remainder is for requests in progress
+  // and for connections being closed. Without this limit, a hundred gateways
+  // that each call a small service a few times a second kept enough idle
+  // connections open to fill its replicas; the replicas reset further
+  // connections, and requests that must run only once were lost.
+  static constexpr double kIdleConnectionShare = 0.7;
+  // Maximum time that a request waits for capacity of a cold replica. Capacity
+  // used by a request is released one second after the replica's answer to it
+  // starts.
+  static constexpr DurationUs kMaxColdReplicaWait = 1500 * kMillisecond;
+  // Time that a request needs from the client to this gateway. It counts
+  // against the client's deadline, which starts when the client sends the
+  // request.
+  static constexpr DurationUs kClientTransitTime = 3 * kMillisecond;
 
   Gateway(GatewayOptions options,
           GatewayPorts* ports,
@@ -125,46 +143,60 @@
   Gateway& operator=(const Gateway&) = delete;
 
   void SetOptions(const GatewayOptions& options);
-  // A configuration of a lower version than the one in force is passed over.
+  // Ignores a configuration whose version is lower than that of the one in use.
   void OnConfig(std::shared_ptr<const ServingConfig> config);
-  // The configuration in force was the newest at `asked_at`.
+  // The configuration in use was the newest one at `asked_at`, when this
+  // gateway asked the store.
   void OnConfirmed(TimeUs asked_at);
   void OnReplica(const ReplicaEntry& replica, DirectoryChange change);
-  // A failure domain was emptied: refuses the requests that no replica is left
-  // for and that none has begun.
+  // A failure domain was evacuated: refuses requests that are not at a replica
+  // if a service they need has no replica left.
   void OnEvacuated();
 
+  // A client's request arrived.
   void OnCall(ExchangeId id, ClientCall call);
+  // The client closed its connection.
   void OnGone(ExchangeId id);
+  // Bytes queued for the client were written; reading from the replica may
+  // resume.
   void OnWritten(ExchangeId id);
 
-  // The request left on a connection that had to be made first.
+  // The request was sent on a newly opened connection.
   void OnReplicaConnected(CallId id);
   void OnReplicaHead(CallId id, ReplicaHead head);
   void OnReplicaBody(CallId id, std::string_view bytes);
   void OnReplicaEnd(CallId id);
+  // The connection failed before the end of the answer. `sent`: whether any
+  // byte of the request was sent.
   void OnReplicaFailed(CallId id, bool sent, std::string_view why);
   void OnPiece(const PieceResult& result);
 
-  // Balancers have had time to notice that this process leaves: streams, which
-  // may outlast it, are refused from now on.
+  // Refuses new streams from now on, because they may outlast this process,
+  // which is shutting down. Called once load balancers have had time to notice
+  // the shutdown.
   void RefuseStreams();
-  // Answers everything that no stream has begun for: this process ends.
+  // Refuses all requests whose stream has not begun, just before the process
+  // exits.
   void RefuseAll();
-  // Ends what is over its time; call it every 10 ms.
+  // Refuses requests whose deadline passed and starts waiting ones; call it
+  // every 10 ms.
   void OnTick();
 
+  // Number of gateways that share retry budgets and connection limits,
+  // including this one.
   void SetEntries(std::size_t n);
   // See `ColdLimit::SetGateways`.
   void SetKnownGateways(std::vector<NodeId> gateways);
-  // Whether another entry may check keys: clients that are refused because this
-  // one may not are sent there.
+  // Whether another gateway can check keys. If this one cannot, refused clients
+  // are told to retry at once, so that they reach the other one.
   void SetAnotherIsCurrent(bool current);
   EngineChoice* engines();
-  // The retry budget of a service, which its batched pieces share.
+  // The retry budget of a service; the stage pieces of that service share it.
   AttemptBudget* BudgetOf(const std::string& service);
+  // Whether any configuration was received.
   bool configured() const;
-  // Whether keys may be used now.
+  // Whether requests can be served now: a configuration is known and, if its
+  // routes need API keys, was confirmed recently enough.
   bool current() const;
   std::size_t in_progress() const;
 
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -1,5 +1,5 @@
-// Which requests a gateway takes: route, account, rank, and whether there is
-// time for them.
+// Decides which requests a gateway admits: finds route and account, computes
+// the priority, and estimates whether there is enough time.
 #include <algorithm>
 
 #include "coordination/gateway/gateway_impl.h"
@@ -8,46 +8,54 @@
 namespace acaciachute {
 namespace {
 
-// The client's next connection reaches another node; it need not wait.
-constexpr DurationUs kElsewhere = 20 * kMillisecond;
+// Retry-After if another gateway can serve the client: its next connection
+// reaches another one, so a minimal delay is enough.
+constexpr DurationUs kRetryElsewhereDelay = 20 * kMillisecond;
 
-// A client honours a wait of up to a third of the time that it has left.
-constexpr DurationUs kHonouredPart = 3;
+// Clients accept a Retry-After of up to their remaining time divided by this.
+constexpr DurationUs kRetryAfterDivisor = 3;
 
-// Deadlines of one route's clients vary by an eighth. Below this share of the
-// usual one a client has been refused before; the time for which it was sent
-// away makes sure of it.
-constexpr double kReturned = 0.83;
-constexpr double kLeastReturn = 0.2;
+// Detection of retries. Deadlines of the clients of one route vary by an
+// eighth, so a deadline below `kRetryDeadlineShare` of the usual one belongs to
+// a client that was refused before. Retry-After is at least
+// `kMinRetryAfterShare` of the deadline, so that a retry does fall below that
+// threshold.
+constexpr double kRetryDeadlineShare = 0.83;
+constexpr double kMinRetryAfterShare = 0.2;
 
-// A request that will be late is admitted if it would be served within this
-// share of the time that it has left; the estimates are rough.
-constexpr double kLateShare = 0.35;
+// A request that will miss its target is admitted if it is expected to be
+// served within this share of its remaining time; the margin is large because
+// the estimates are rough.
+constexpr double kLateAdmissionShare = 0.35;
 
-// A parked request begins when the queues are this short, one each step a
-// gateway: what the batching gateways tell of their queues is as old as a beat.
-// One is parked if its turn is expected within this share of its time.
-constexpr DurationUs kParkedWait = 500 * kMillisecond;
-constexpr DurationUs kParkedStep = 100 * kMillisecond;
-constexpr double kParkedShare = 0.6;
+// A parked request is started once the expected queue wait is below
+// `kParkedStartWait`. Each gateway starts one per `kParkedStartPeriod`, because
+// the queue lengths reported by the batching gateways are up to one heartbeat
+// old. A request is parked only if it is expected to be served within
+// `kParkedAdmissionShare` of its remaining time.
+constexpr DurationUs kParkedStartWait = 500 * kMillisecond;
+constexpr DurationUs kParkedStartPeriod = 100 * kMillisecond;
+constexpr double kParkedAdmissionShare = 0.6;
 
-// The account's priority goes first, the route's decides within it: accounts of
-// one priority still have urgent and patient requests.
-std::uint32_t RankOf(const Route& route, const ClientAccount* account) {
+// The account's priority takes precedence; the route's priority orders requests
+// within it, because accounts of the same priority still have urgent and
+// patient requests.
+std::uint32_t PriorityOf(const Route& route, const ClientAccount* account) {
   constexpr std::uint32_t kRoutePriorities = 4;
-  const std::uint32_t first =
+  const std::uint32_t account_priority =
       account != nullptr && account->priority ? *account->priority : 0;
-  return first * kRoutePriorities +
+  return account_priority * kRoutePriorities +
          std::min(route.priority, kRoutePriorities - 1);
 }
 
 }  // namespace
 
-// Failure: a key is taken away while this entry cannot hear of it. Symptom: a
-// request runs under a key that its owner was told is void. A key counts only
-// while the configuration was confirmed within `key_age`, by a clock that goes
-// on while the host is suspended, and from when the question was sent.
-bool Gateway::Impl::Current() const {
+// A key may be revoked while this gateway cannot read the store, and requests
+// must not run with a revoked key. Keys are therefore accepted only if the
+// configuration was confirmed within the last `key_age`. The age counts from
+// when the request to the store was sent, on a clock that advances while the
+// host is suspended.
+bool Gateway::Impl::ConfigIsConfirmed() const {
   return confirmed_at >= 0 && ports->Now() - confirmed_at <= options.key_age;
 }
 
@@ -58,9 +66,9 @@
   if (!config->needs_keys || route.anonymous) {
     return true;
   }
-  if (!Current()) {
+  if (!ConfigIsConfirmed()) {
     *refusal = {Refusal::kNotCurrent, Verdict::kNotRun,
-                RetryAfterNotCurrent(route, call),
+                RetryAfterUncheckedKey(route, call),
                 "keys cannot be checked against the newest configuration"};
     return false;
   }
@@ -72,32 +80,33 @@
   return true;
 }
 
-// Load pattern: the store turns some hosts away, or all of them, for seconds.
-// Clients retry once or twice. If another entry is current, which a new
-// connection most likely reaches, they are served when they come at once. If
-// none is, whoever comes back in a second is refused again and has used up its
-// tries; the longest wait that clients honour, a third of their time, gives the
-// store the most time to return. Spread, so that they do not come together.
-DurationUs Gateway::Impl::RetryAfterNotCurrent(const Route& route,
-                                               const ClientCall& call) {
+// The store may be unreachable for some or all hosts for seconds, and clients
+// retry only once or twice. If another gateway can check keys, a new connection
+// most likely reaches it, so the client is told to retry at once. If none can,
+// a client that retries within a second would be refused again and use up its
+// retries, so it is told to wait for the longest time that clients accept, a
+// third of their remaining time. The wait is spread so that clients do not
+// retry at the same time.
+DurationUs Gateway::Impl::RetryAfterUncheckedKey(const Route& route,
+                                                 const ClientCall& call) {
   if (another_is_current) {
-    return kElsewhere;
+    return kRetryElsewhereDelay;
   }
-  return RetryAfterLongest(call.deadline > 0
+  return LongestRetryAfter(call.deadline > 0
                                ? std::min(call.deadline, route.timeout)
                                : route.timeout);
 }
 
-DurationUs Gateway::Impl::RetryAfterLongest(DurationUs left) {
-  const DurationUs most = std::max<DurationUs>(0, left) / kHonouredPart;
-  return most / 2 + static_cast<DurationUs>(random->Below(
-                        static_cast<std::uint64_t>(most / 2 + 1)));
+DurationUs Gateway::Impl::LongestRetryAfter(DurationUs left) {
+  const DurationUs longest = std::max<DurationUs>(0, left) / kRetryAfterDivisor;
+  return longest / 2 + static_cast<DurationUs>(random->Below(
+                           static_cast<std::uint64_t>(longest / 2 + 1)));
 }
 
-// Failure: all replicas of a service are gone, or every failure domain that has
-// one was emptied. Symptom: requests wait for pieces that nobody makes, or have
-// their stages made for a replica that is not there, until their clients leave.
-// Stages that are made already need no replica any more.
+// If a service has lost all its replicas, or all failure domains that have one
+// are evacuated, requests would wait until their clients disconnect, for pieces
+// that no replica makes or for a replica that does not exist. Stages that are
+// complete need no replica any more.
 bool Gateway::Impl::HasNoReplica(const ServingRequest& request,
                                  OwnAnswer* refusal) {
   std::string_view missing;
@@ -115,8 +124,8 @@
     return false;
   }
   *refusal = {Refusal::kNoReplica, Verdict::kNotRun,
-              RetryAfterLongest(request.answer_by - ports->Now()),
-              StrCat("no replica of ", missing, " takes work")};
+              LongestRetryAfter(request.first_response_by - ports->Now()),
+              StrCat("no replica of ", missing, " accepts work")};
   return true;
 }
 
@@ -137,26 +146,27 @@
 
 void Gateway::Impl::Admit(ExchangeId id, ClientCall call) {
   if (config == nullptr) {
-    RefuseAtOnce(id, call,
-                 {Refusal::kNotCurrent, Verdict::kNotRun, kSecond,
-                  "no configuration is known yet"});
+    RefuseUnadmitted(id, call,
+                     {Refusal::kNotCurrent, Verdict::kNotRun, kSecond,
+                      "no configuration was received yet"});
     return;
   }
   const Route* route = config->FindRoute(call.host, call.target);
   if (route == nullptr) {
-    RefuseAtOnce(id, call, {Refusal::kNotFound, Verdict::kNotRun, 0, ""});
+    RefuseUnadmitted(id, call, {Refusal::kNotFound, Verdict::kNotRun, 0, ""});
     return;
   }
   if (refuses_streams && route->kind == RouteKind::kStream) {
-    RefuseAtOnce(id, call,
-                 {Refusal::kLeaving, Verdict::kNotRun, kElsewhere,
-                  "a stream may outlast this process"});
+    RefuseUnadmitted(
+        id, call,
+        {Refusal::kLeaving, Verdict::kNotRun, kRetryElsewhereDelay,
+         "the gateway is shutting down and the stream could outlast it"});
     return;
   }
   const ClientAccount* account = nullptr;
   OwnAnswer refusal;
   if (!FindAccount(*route, call, &account, &refusal)) {
-    RefuseAtOnce(id, call, refusal);
+    RefuseUnadmitted(id, call, refusal);
     return;
   }
   const TimeUs now = ports->Now();
@@ -164,65 +174,72 @@
       std::make_unique<ServingRequest>(id, std::move(call), config, route);
   request->account = account;
   request->service = ChooseService(*route);
-  request->priority = RankOf(*route, account);
+  request->priority = PriorityOf(*route, account);
   request->received_at = now;
   const DurationUs elapsed = ElapsedBefore(*route, request->call);
-  request->target_by = now + route->target - kLink - elapsed;
-  const DurationUs patience =
+  request->target_by = now + route->target - kClientTransitTime - elapsed;
+  const DurationUs time_limit =
       request->call.deadline > 0
-          ? std::min(request->call.deadline - kLink, route->timeout)
+          ? std::min(request->call.deadline - kClientTransitTime,
+                     route->timeout)
           : route->timeout;
-  request->deadline_at = now + patience;
-  request->answer_by = request->deadline_at;
+  request->deadline_at = now + time_limit;
+  request->first_response_by = request->deadline_at;
   if (route->kind == RouteKind::kStream) {
-    request->answer_by =
-        std::min(request->answer_by, now + route->FirstEventPatience() - kLink);
+    request->first_response_by =
+        std::min(request->first_response_by,
+                 now + route->FirstEventPatience() - kClientTransitTime);
   }
   request->resume_after = request->call.resume_after;
   request->admission = HasNoReplica(*request, &refusal)
                            ? Admission::kRefused
-                           : Decide(request.get(), &refusal);
+                           : DecideAdmission(request.get(), &refusal);
   if (request->admission == Admission::kRefused) {
-    RefuseAtOnce(id, request->call, refusal);
+    RefuseUnadmitted(id, request->call, refusal);
     return;
   }
-  Budget(request->service).OnRequest(now);
-  SetDue(request.get(), request->answer_by);
+  ServiceBudget(request->service).OnRequest(now);
+  SetExpiry(request.get(), request->first_response_by);
   ServingRequest* it = request.get();
-  by_client_id[it->call.id] = it;
+  by_request_id[it->call.id] = it;
   requests[id] = std::move(request);
   if (it->admission == Admission::kParked) {
     it->parked = true;
     parked.emplace(it->priority, it->received_at, id);
-    // Begun later it could not be served before its client leaves.
-    SetDue(it, it->answer_by - it->progress.TimeLeft() - kEngineTime);
+    // Started later than this, it could not be served before its client
+    // disconnects.
+    SetExpiry(it, it->first_response_by - it->progress.TimeLeft() -
+                      kEngineFirstEventTime);
     return;
   }
   RunStages(it);
 }
 
-// A client that comes back after a refusal has less time left than its route's
-// clients usually give; no field says so.
+// A client that retries after a refusal has less time left than the route's
+// clients usually have. The request has no field that marks a retry, so this is
+// inferred from the deadline.
 DurationUs Gateway::Impl::ElapsedBefore(const Route& route,
                                         const ClientCall& call) {
-  auto& usual = usual_deadline[route.name];
+  auto& p90_us = deadline_p90_us[route.name];
   const auto deadline = static_cast<double>(call.deadline);
-  if (usual == 0) {
-    usual = deadline;
+  if (p90_us == 0) {
+    p90_us = deadline;
   }
-  // Moves to the value that a tenth of the deadlines exceed.
-  constexpr double kStep = 0.02;
-  constexpr double kAbove = 0.1;
-  usual += kStep * usual * (deadline > usual ? 1 - kAbove : -kAbove);
-  return deadline < kReturned * usual
-             ? static_cast<DurationUs>(usual - deadline)
+  // Stochastic estimate of the 90th percentile: converges to the value that a
+  // tenth of the deadlines exceed.
+  constexpr double kPercentileStep = 0.02;
+  constexpr double kShareAbove = 0.1;
+  p90_us += kPercentileStep * p90_us *
+            (deadline > p90_us ? 1 - kShareAbove : -kShareAbove);
+  return deadline < kRetryDeadlineShare * p90_us
+             ? static_cast<DurationUs>(p90_us - deadline)
              : 0;
 }
 
-Gateway::Impl::StageWaits Gateway::Impl::WaitsOf(
+Gateway::Impl::StageEstimates Gateway::Impl::ExpectedWaits(
     const ServingRequest& request) const {
   const TimeUs now = ports->Now();
-  StageWaits waits;
+  StageEstimates waits;
   for (std::uint32_t n = 0; n < request.route->stages.size(); ++n) {
     if (request.progress.Pieces(n) == 0) {
       continue;
@@ -232,52 +249,56 @@
     waits.in_time += wait.Of(request.priority);
     waits.late = std::max(waits.late, wait.late);
   }
-  waits.work = request.progress.TimeLeft() + kEngineTime;
+  waits.work = request.progress.TimeLeft() + kEngineFirstEventTime;
   return waits;
 }
 
-// Load pattern: a burst brings more requests than the stages can make. Admitted
-// without a bound, all of them wait, and all are late. Those that can be on
-// time are admitted; those that cannot are admitted while they would be served
-// well before their deadlines, behind all others. Of the rest, those that the
-// time after the burst is likely to serve are parked before any work is done
-// for them, so that they hold no memory; what is left is refused, and told when
-// the queue will be shorter.
-Admission Gateway::Impl::Decide(ServingRequest* request, OwnAnswer* refusal) {
+// In a burst, more requests arrive than the stages can process; if all were
+// admitted, all would wait and all would be late. Requests that can meet their
+// target are admitted. Others are admitted behind them if they would still be
+// served well before their deadlines. Of the remainder, those that can probably
+// be served after the burst are parked: no work is done for them yet, so they
+// hold no memory. All others are refused, with a Retry-After at which the queue
+// is expected to be shorter.
+Admission Gateway::Impl::DecideAdmission(ServingRequest* request,
+                                         OwnAnswer* refusal) {
   if (request->route->stages.empty()) {
     return Admission::kInTime;
   }
   const TimeUs now = ports->Now();
-  const auto [in_time, late, work] = WaitsOf(*request);
+  const auto [in_time, late, work] = ExpectedWaits(*request);
   request->expected_wait = in_time;
   if (now + in_time + work <= request->target_by) {
     return Admission::kInTime;
   }
-  const DurationUs left = request->answer_by - now;
+  const DurationUs left = request->first_response_by - now;
   const auto share = [left](double part) {
     return static_cast<DurationUs>(part * static_cast<double>(left));
   };
-  if (late + work <= share(kLateShare)) {
+  if (late + work <= share(kLateAdmissionShare)) {
     return Admission::kLate;
   }
-  const DurationUs turn =
-      kParkedStep * static_cast<DurationUs>(parked.size() + 1);
-  if (late + turn + work <= share(kParkedShare)) {
+  const DurationUs expected_start =
+      kParkedStartPeriod * static_cast<DurationUs>(parked.size() + 1);
+  if (late + expected_start + work <= share(kParkedAdmissionShare)) {
     return Admission::kParked;
   }
-  const DurationUs most = left / kHonouredPart;
-  const auto least = std::min(
-      most, static_cast<DurationUs>(
-                kLeastReturn * static_cast<double>(request->call.deadline)));
-  const DurationUs wish = std::clamp(late, least, most);
-  const auto spread = static_cast<DurationUs>(
-      random->Below(static_cast<std::uint64_t>(most - wish) / 2 + 1));
-  *refusal = {
-      Refusal::kFull, Verdict::kNotRun, wish + spread,
-      StrCat(request->route->name, ": work ", work / kMillisecond, " ms, wait ",
-             in_time / kMillisecond, " or if late ", late / kMillisecond,
-             ", until late ", (request->target_by - now) / kMillisecond,
-             ", until its client leaves ", left / kMillisecond)};
+  const DurationUs longest = left / kRetryAfterDivisor;
+  const auto shortest = std::min(
+      longest,
+      static_cast<DurationUs>(kMinRetryAfterShare *
+                              static_cast<double>(request->call.deadline)));
+  const DurationUs suggested_wait = std::clamp(late, shortest, longest);
+  const auto spread = static_cast<DurationUs>(random->Below(
+      static_cast<std::uint64_t>(longest - suggested_wait) / 2 + 1));
+  *refusal = {Refusal::kFull, Verdict::kNotRun, suggested_wait + spread,
+              StrCat(request->route->name, ": processing ", work / kMillisecond,
+                     " ms, queue wait ", in_time / kMillisecond,
+                     " ms (if admitted late ", late / kMillisecond,
+                     " ms), remaining until target ",
+                     (request->target_by - now) / kMillisecond,
+                     " ms, remaining milliseconds until deadline ",
+                     left / kMillisecond)};
   return Admission::kRefused;
 }
 
@@ -286,33 +307,35 @@
   if (parked.empty() || now < next_parked_at) {
     return;
   }
-  next_parked_at = now + kParkedStep;
-  // Routes differ in their stages: one whose queues are long holds up no other.
-  std::set<const Route*> held_up;
+  next_parked_at = now + kParkedStartPeriod;
+  // Routes have different stages, so a route with long queues must not block
+  // the parked requests of other routes.
+  std::set<const Route*> blocked_routes;
   for (auto it = parked.begin(); it != parked.end(); ++it) {
-    ServingRequest* request = ByExchange(std::get<ExchangeId>(*it));
-    if (held_up.contains(request->route)) {
+    ServingRequest* request = FindByExchange(std::get<ExchangeId>(*it));
+    if (blocked_routes.contains(request->route)) {
       continue;
     }
-    if (WaitsOf(*request).late > kParkedWait) {
-      held_up.insert(request->route);
+    if (ExpectedWaits(*request).late > kParkedStartWait) {
+      blocked_routes.insert(request->route);
       continue;
     }
     parked.erase(it);
     request->parked = false;
-    SetDue(request, request->answer_by);
+    SetExpiry(request, request->first_response_by);
     RunStages(request);
     return;
   }
 }
 
 DurationUs Gateway::Impl::RetryAfter(const ServingRequest& request) {
-  // Spread, so that those refused together do not come back together.
-  constexpr DurationUs kLeast = 300 * kMillisecond;
-  constexpr DurationUs kSpread = 700 * kMillisecond;
+  // Random spread, so that clients refused together do not retry together.
+  constexpr DurationUs kMinRetryAfter = 300 * kMillisecond;
+  constexpr DurationUs kRetryAfterSpread = 700 * kMillisecond;
   const DurationUs wait =
-      kLeast + static_cast<DurationUs>(random->Below(kSpread));
-  const DurationUs left = request.answer_by - ports->Now();
+      kMinRetryAfter +
+      static_cast<DurationUs>(random->Below(kRetryAfterSpread));
+  const DurationUs left = request.first_response_by - ports->Now();
   return left > wait ? wait : 0;
 }
 
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -1,5 +1,5 @@
-// One request at its replicas: the choice, the answer, and what follows when
-// there is none.
+// The attempts of one request: choosing a replica, passing on its answer, and
+// retrying or refusing when an attempt fails.
 #include <algorithm>
 
 #include "coordination/gateway/gateway_impl.h"
@@ -19,22 +19,24 @@
     return engines.Choose(now, request->service, request->ForEngine(),
                           request->tried, repeat);
   }
-  return Plain(request->service)
+  return PlainChoiceOf(request->service)
       .Choose(now, request->service, options.domain, request->tried, repeat);
 }
 
 void Gateway::Impl::StartAttempt(ServingRequest* request) {
-  const ReplicaEntry* replica =
-      request->tried.size() < kMostReplicas ? ChooseReplica(request) : nullptr;
-  if (replica == nullptr && ColdTakesLater(*request)) {
-    AwaitCold(request);
+  const ReplicaEntry* replica = request->tried.size() < kMaxReplicasPerRequest
+                                    ? ChooseReplica(request)
+                                    : nullptr;
+  if (replica == nullptr && ColdReplicaMayTakeLater(*request)) {
+    AwaitColdReplica(request);
     return;
   }
   if (replica == nullptr) {
     const bool listed = !directory->Of(request->service).empty();
     Refuse(request,
            {listed ? Refusal::kFull : Refusal::kNoReplica, Verdict::kNotRun, 0,
-            StrCat(request->tried.size(), " replicas asked")});
+            StrCat(request->tried.size(),
+                   " replicas tried, no other one accepts the request")});
     return;
   }
   SendTo(request, *replica);
@@ -43,36 +45,38 @@
 void Gateway::Impl::SendTo(ServingRequest* request,
                            const ReplicaEntry& replica) {
   const TimeUs now = ports->Now();
-  SendOrder order;
-  order.call = &request->call;
-  order.replica = replica.id;
-  order.address = replica.address;
-  order.time_left = request->deadline_at - now;
-  order.account = request->account != nullptr ? request->account->name : "";
-  order.inputs = request->progress.FinalResults();
-  order.resume_after = request->resume_after;
-  order.may_repeat = request->route->MayRepeat();
-  order.most_idle_connections = MostIdleConnections(*request);
+  SendOrder attempt_request;
+  attempt_request.call = &request->call;
+  attempt_request.replica = replica.id;
+  attempt_request.address = replica.address;
+  attempt_request.time_left = request->deadline_at - now;
+  attempt_request.account =
+      request->account != nullptr ? request->account->name : "";
+  attempt_request.inputs = request->progress.FinalResults();
+  attempt_request.resume_after = request->resume_after;
+  attempt_request.may_repeat = request->route->MayRepeat();
+  attempt_request.most_idle_connections = MaxIdleConnections(*request);
   if (IsEngine(*request)) {
-    order.priority = request->priority;
+    attempt_request.priority = request->priority;
     engines.OnSent(replica.id, request->ForEngine());
   } else {
-    Plain(request->service).OnSent(now, replica.id);
+    PlainChoiceOf(request->service).OnSent(now, replica.id);
   }
   cold.OnSent(replica);
   request->tried.push_back(replica.id);
   request->attempt = {};
   request->attempt.replica = replica;
   request->attempt.sent_at = now;
-  request->attempt.list_age = directory->Age(now);
+  request->attempt.replica_list_age = directory->Age(now);
   metrics->Observe("acaciachute_gateway_replica_list_age_seconds",
-                   request->service, request->attempt.list_age);
-  request->attempt.call = ports->Send(order);
+                   request->service, request->attempt.replica_list_age);
+  request->attempt.call = ports->Send(attempt_request);
   by_call[request->attempt.call] = request;
 }
 
-bool Gateway::Impl::ColdTakesLater(const ServingRequest& request) const {
-  if (request.tried.size() >= kMostReplicas) {
+bool Gateway::Impl::ColdReplicaMayTakeLater(
+    const ServingRequest& request) const {
+  if (request.tried.size() >= kMaxReplicasPerRequest) {
     return false;
   }
   const TimeUs now = ports->Now();
@@ -85,10 +89,11 @@
       });
 }
 
-// Load pattern: every replica of a service is cold, and each takes a few
-// requests a second. Refused at once, those beyond would all come back
-// together; they wait in order for the next that is taken.
-void Gateway::Impl::AwaitCold(ServingRequest* request) {
+// When every replica of a service is cold, each accepts only a few requests a
+// second. If the excess requests were refused, they would all be retried at the
+// same time; instead they wait here in order until a replica accepts the next
+// one.
+void Gateway::Impl::AwaitColdReplica(ServingRequest* request) {
   if (request->awaits_cold) {
     return;
   }
@@ -97,14 +102,17 @@
   log->Write("awaits_cold", {{"id", request->call.id},
                              {"service", request->service},
                              {"waiting", awaiting_cold.size()}});
-  SetDue(request, std::min(request->answer_by, ports->Now() + kMostColdWait));
+  SetExpiry(request, std::min(request->first_response_by,
+                              ports->Now() + kMaxColdReplicaWait));
 }
 
-void Gateway::Impl::RetryAwaiting() {
-  const auto waiting = awaiting_cold;  // Sending may end others.
-  std::set<std::string> full;          // Services that took no more.
+void Gateway::Impl::RetryAwaitingCold() {
+  // A copy, because sending may end requests.
+  const auto waiting = awaiting_cold;
+  // Services whose replicas accept no more requests.
+  std::set<std::string> full;
   for (const auto& [priority, received_at, id] : waiting) {
-    ServingRequest* request = ByExchange(id);
+    ServingRequest* request = FindByExchange(id);
     if (request == nullptr || full.contains(request->service)) {
       continue;
     }
@@ -115,25 +123,26 @@
     }
     awaiting_cold.erase({priority, received_at, id});
     request->awaits_cold = false;
-    SetDue(request, request->begun ? request->deadline_at : request->answer_by);
+    SetExpiry(request, request->stream_begun ? request->deadline_at
+                                             : request->first_response_by);
     SendTo(request, *replica);
   }
 }
 
-std::optional<std::size_t> Gateway::Impl::MostIdleConnections(
+std::optional<std::size_t> Gateway::Impl::MaxIdleConnections(
     const ServingRequest& request) const {
   const Service* service = request.config->FindService(request.service);
   if (service == nullptr || service->max_connections == 0) {
     return std::nullopt;
   }
   return static_cast<std::size_t>(
-      kIdleShare * static_cast<double>(service->max_connections) /
-      static_cast<double>(entries));
+      kIdleConnectionShare * static_cast<double>(service->max_connections) /
+      static_cast<double>(gateway_count));
 }
 
 void Gateway::Impl::OnHead(ServingRequest* request, ReplicaHead head) {
   request->attempt.head = std::move(head);
-  NoteArrived(request);
+  ReportArrival(request);
 }
 
 void Gateway::Impl::OnBody(ServingRequest* request, std::string_view bytes) {
@@ -142,14 +151,14 @@
       request->route->kind == RouteKind::kStream && attempt.head->ok();
   if (!stream) {
     attempt.body += bytes;
-    if (attempt.body.size() > kMostAnswer) {
+    if (attempt.body.size() > kMaxAnswerBytes) {
       CancelAttempt(request);
-      OnMayHaveRun(request, "the answer is too long");
+      OnMayHaveRun(request, "the answer exceeds the size limit");
     }
     return;
   }
   if (!attempt.head->sealed || attempt.head->encoded) {
-    return;  // Judged at its end.
+    return;  // Such an answer is rejected in `OnEnd`.
   }
   const std::string events = request->events.Add(bytes);
   if (!events.empty()) {
@@ -160,23 +169,24 @@
 void Gateway::Impl::PassEvents(ServingRequest* request,
                                std::string_view events) {
   Attempt& attempt = request->attempt;
-  if (!attempt.read) {
-    attempt.read = true;
+  if (!attempt.first_event_received) {
+    attempt.first_event_received = true;
     engines.OnFirstEvent(attempt.replica.id, request->ForEngine());
-    // The replica fetched its inputs before it read the prompt.
+    // The replica fetched its inputs before it read the prompt, so they can be
+    // released.
     desk->Free(request->progress.TakeAll());
   }
-  if (!request->begun) {
-    request->begun = true;
-    request->begun_at = ports->Now();
-    SetDue(request, request->deadline_at);
+  if (!request->stream_begun) {
+    request->stream_begun = true;
+    request->stream_begun_at = ports->Now();
+    SetExpiry(request, request->deadline_at);
     metrics->Observe("acaciachute_gateway_first_event_seconds",
                      request->route->name,
-                     request->begun_at - request->received_at);
+                     request->stream_begun_at - request->received_at);
     ports->BeginStream(request->id, *attempt.head);
   }
   ports->StreamData(request->id, events);
-  if (!attempt.paused && ports->Unsent(request->id) > kMostUnsent) {
+  if (!attempt.paused && ports->Unsent(request->id) > kMaxUnsentBytes) {
     attempt.paused = true;
     ports->SetReading(attempt.call, false);
   }
@@ -192,42 +202,49 @@
   }
   if (head.ok() && (!head.sealed || head.encoded)) {
     EndAttempt(request);
-    OnMayHaveRun(request, head.sealed ? "the body is encoded"
-                                      : "the answer bears no proof");
+    OnMayHaveRun(
+        request,
+        head.sealed
+            ? "the answer has a content encoding that the replica did not apply"
+            : "the answer lacks the replica's seal");
     return;
   }
   const bool stream = request->route->kind == RouteKind::kStream && head.ok();
   if (!stream) {
-    AnswerWhole(request);
+    FinishPlainAnswer(request);
     return;
   }
-  const std::string rest = request->events.rest();
-  if (!rest.empty() || !attempt.read) {
-    PassEvents(request, rest);
+  const std::string partial_event = request->events.partial_event();
+  if (!partial_event.empty() || !attempt.first_event_received) {
+    PassEvents(request, partial_event);
   }
   engines.OnSuccess(attempt.replica.id);
-  ++request->runs;
+  ++request->possible_runs;
   EndAttempt(request);
   ports->EndStream(request->id);
   Finish(request, Name(Verdict::kAnswered), head.status);
 }
 
-void Gateway::Impl::AnswerWhole(ServingRequest* request) {
+void Gateway::Impl::FinishPlainAnswer(ServingRequest* request) {
   const Attempt attempt = request->attempt;
   const TimeUs now = ports->Now();
   const bool failed = attempt.head->status >= 500;
   if (!IsEngine(*request)) {
-    Plain(request->service).OnAnswer(now, attempt.replica.id, attempt.sent_at);
+    PlainChoiceOf(request->service)
+        .OnAnswer(now, attempt.replica.id, attempt.sent_at);
   }
   EndAttempt(request);
-  ++request->runs;
-  if (request->begun) {
-    // A replica that was to go on with a stream failed instead.
-    Refuse(request, {Refusal::kUpstreamFailed, Verdict::kMayHaveRun, 0,
-                     "the stream could not be resumed"});
+  ++request->possible_runs;
+  if (request->stream_begun) {
+    // A replica that should have resumed the stream answered with an error.
+    Refuse(
+        request,
+        {Refusal::kUpstreamFailed, Verdict::kMayHaveRun, 0,
+         "the replica answered with an error instead of resuming the stream"});
     return;
   }
-  if (failed && MayTryAgain(*request) && Budget(request->service).Take(now)) {
+  if (failed && MayRetry(*request) &&
+      ServiceBudget(request->service).Take(now)) {
     metrics->Count("acaciachute_gateway_retries_total", "failed");
     StartAttempt(request);
     return;
@@ -237,14 +254,15 @@
          attempt.head->status);
 }
 
-bool Gateway::Impl::MayTryAgain(const ServingRequest& request) const {
+bool Gateway::Impl::MayRetry(const ServingRequest& request) const {
   return request.route->MayRepeat() &&
-         request.runs < request.route->max_attempts &&
-         request.tried.size() < kMostReplicas &&
+         request.possible_runs < request.route->max_attempts &&
+         request.tried.size() < kMaxReplicasPerRequest &&
          ports->Now() < request.deadline_at;
 }
 
-// The replica itself said so, or no byte of the request left.
+// Retries a request that certainly did not run: the replica said so, or no byte
+// of the request was sent.
 void Gateway::Impl::OnNotRun(ServingRequest* request) {
   const Attempt& attempt = request->attempt;
   constexpr int kConflict = 409;
@@ -254,12 +272,16 @@
                          {"status", status}});
   if (status == kConflict) {
     request->tried.clear();
-    RestartStages(request, "the replica found a result gone");
+    RestartStages(
+        request,
+        "the replica answered 409: an input result is no longer available");
     return;
   }
-  if (attempt.head && !Budget(request->service).Take(ports->Now())) {
-    Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
-                     "the replica refused, and the retry budget is spent"});
+  if (attempt.head && !ServiceBudget(request->service).Take(ports->Now())) {
+    Refuse(
+        request,
+        {Refusal::kFull, Verdict::kNotRun, 0,
+         "the replica refused the request and the retry budget is exhausted"});
     return;
   }
   metrics->Count("acaciachute_gateway_retries_total", "not_run");
@@ -268,23 +290,24 @@
 
 void Gateway::Impl::OnMayHaveRun(ServingRequest* request,
                                  std::string_view why) {
-  ++request->runs;
+  ++request->possible_runs;
   const TimeUs now = ports->Now();
   log->Write("lost", {{"id", request->call.id},
                       {"replica", request->attempt.replica.id.name},
                       {"why", why},
-                      {"begun", request->begun}});
-  if (MayTryAgain(*request) && Budget(request->service).Take(now)) {
+                      {"begun", request->stream_begun}});
+  if (MayRetry(*request) && ServiceBudget(request->service).Take(now)) {
     metrics->Count("acaciachute_gateway_retries_total", "lost");
-    request->events.DropRest();
-    if (request->begun) {
-      request->resume_after = request->events.last_id();
+    request->events.DiscardPartialEvent();
+    if (request->stream_begun) {
+      request->resume_after = request->events.last_event_id();
     }
-    if (request->route->stages.empty() || !request->attempt.read) {
+    if (request->route->stages.empty() ||
+        !request->attempt.first_event_received) {
       StartAttempt(request);
     } else {
-      // The results were freed at the first event.
-      RestartStages(request, "its stream is begun again");
+      // The results were released at the first event and have to be made again.
+      RestartStages(request, "the stream is resumed at another replica");
     }
     return;
   }
@@ -300,12 +323,12 @@
   if (IsEngine(*request)) {
     engines.OnFailure(now, attempt.replica.id);
   } else {
-    Plain(request->service).OnFailure(now, attempt.replica.id);
+    PlainChoiceOf(request->service).OnFailure(now, attempt.replica.id);
   }
   const bool said_not_run =
       attempt.head && (attempt.head->not_run || attempt.head->other_replica);
-  if (!sent && !request->attempt.arrived) {
-    request->attempt.arrived = true;
+  if (!sent && !request->attempt.arrival_reported) {
+    request->attempt.arrival_reported = true;
     cold.OnNotSent(attempt.replica);
   }
   EndAttempt(request);
@@ -316,10 +339,10 @@
   }
 }
 
-// Failure: a replica crashes behind a cut and starts again under its name.
-// Symptom: what was sent to the life before waits for an answer until its
-// deadline, because nothing closes the connection. That life may have run it,
-// and nothing will come of it any more.
+// A replica may crash while it is unreachable and restart under the same name.
+// Nothing closes the connections to the old incarnation then, so requests sent
+// to it would wait until their deadlines. The old incarnation may have run
+// them, but will never answer them.
 void Gateway::Impl::FailAttemptsAt(const ReplicaId& replica) {
   std::vector<CallId> calls;
   for (const auto& [call, request] : by_call) {
@@ -328,23 +351,23 @@
     }
   }
   for (const CallId call : calls) {
-    // One that failed before it may have ended this one's request.
-    if (ServingRequest* request = ByCall(call)) {
+    // Failing an earlier call may have ended this call's request.
+    if (ServingRequest* request = FindByCall(call)) {
       ports->Cancel(call);
-      OnFailed(request, true, "the replica started again");
+      OnFailed(request, true, "the replica restarted");
     }
   }
 }
 
-void Gateway::Impl::NoteArrived(ServingRequest* request) {
+void Gateway::Impl::ReportArrival(ServingRequest* request) {
   Attempt& attempt = request->attempt;
-  if (!attempt.arrived) {
-    attempt.arrived = true;
+  if (!attempt.arrival_reported) {
+    attempt.arrival_reported = true;
     cold.OnArrived(ports->Now(), attempt.replica);
   }
 }
 
-// The call is over; what is known of its replica is brought up to date.
+// Ends the current call and updates the load and the limits of its replica.
 void Gateway::Impl::EndAttempt(ServingRequest* request) {
   Attempt& attempt = request->attempt;
   if (attempt.call == 0) {
@@ -352,11 +375,13 @@
   }
   by_call.erase(attempt.call);
   attempt.call = 0;
-  NoteArrived(request);
+  ReportArrival(request);
   if (IsEngine(*request)) {
-    engines.OnEnded(attempt.replica.id, request->ForEngine(), attempt.read);
+    engines.OnEnded(attempt.replica.id, request->ForEngine(),
+                    attempt.first_event_received);
   } else {
-    Plain(request->service).OnEnded(attempt.replica.id, attempt.sent_at);
+    PlainChoiceOf(request->service)
+        .OnEnded(attempt.replica.id, attempt.sent_at);
   }
 }
 
--- a/src/coordination/gateway/gateway_impl.h
+++ b/src/coordination/gateway/gateway_impl.h
@@ -1,4 +1,4 @@
-// The inside of `Gateway`, shared by its source files.
+// Implementation of `Gateway`, shared by its source files.
 #ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_GATEWAY_IMPL_H_
 #define ACACIACHUTE_SRC_COORDINATION_GATEWAY_GATEWAY_IMPL_H_
 
@@ -21,21 +21,27 @@
 
 namespace acaciachute {
 
-// A request in progress at one replica.
+// One attempt of a request at one replica.
 struct Attempt {
-  CallId call = 0;  // Zero: none is in progress.
+  CallId call = 0;  // Zero if no call is in progress.
   ReplicaEntry replica;
   TimeUs sent_at = 0;
-  DurationUs list_age = 0;  // Of the replicas, when this one was chosen.
-  DurationUs connect = 0;   // From then until the request left.
+  // Age of the replica list when the replica was chosen.
+  DurationUs replica_list_age = 0;
+  // Time from then until the request was sent.
+  DurationUs connect_time = 0;
   std::optional<ReplicaHead> head;
-  std::string body;      // Of a plain answer, until it is whole.
-  bool read = false;     // The first event came.
-  bool arrived = false;  // The replica has it; see `ColdLimit`.
+  // Body of a plain answer, buffered until it is complete.
+  std::string body;
+  bool first_event_received = false;
+  // The cold replica limiter was told that the request arrived or was not sent.
+  bool arrival_reported = false;
+  // Reading from the replica is stopped until the client has read more.
   bool paused = false;
 };
 
-// How a request was taken.
+// Result of the admission decision: on time, admitted although it will be late,
+// parked until the queues are short, or refused.
 enum class Admission { kInTime, kLate, kParked, kRefused };
 inline constexpr std::array<std::string_view, 4> kAdmissionNames = {
     "in_time", "late", "parked", "refused"};
@@ -43,11 +49,12 @@
   return detail::NameIn(kAdmissionNames, v);
 }
 
-// From the last stage to the first event: a prompt of the usual length is read
-// in 30 to 80 ms, and waits for others.
-inline constexpr DurationUs kEngineTime = 150 * kMillisecond;
+// Assumed time from the end of the last stage to the engine's first event:
+// reading a prompt of the usual length takes 30 to 80 ms, plus waiting for
+// other requests.
+inline constexpr DurationUs kEngineFirstEventTime = 150 * kMillisecond;
 
-// How long each stage of a route takes: one call, with company in its batch.
+// Expected time of each stage of `route`: one call with a half-full batch.
 std::vector<DurationUs> StageTimes(const ServingConfig& config,
                                    const Route& route);
 
@@ -74,30 +81,40 @@
   std::string service;
   std::uint32_t priority = 0;
   TimeUs received_at = 0;
+  // A first response after this time is late, but still sent.
   TimeUs target_by = 0;
   TimeUs deadline_at = 0;
-  TimeUs answer_by = 0;  // A stream's client leaves without a first event.
-  TimeUs due_at = 0;     // Of the two, the one that counts now.
+  // Deadline for a plain answer or for the first event of a stream, after which
+  // the client disconnects.
+  TimeUs first_response_by = 0;
+  // The deadline currently in effect: `first_response_by`, `deadline_at` or a
+  // shorter one while the request waits.
+  TimeUs expires_at = 0;
 
   StageProgress progress;
   Admission admission = Admission::kInTime;
-  DurationUs expected_wait = 0;  // For stages, when it was taken.
-  bool parked = false;  // Nothing was begun; see `Gateway::Impl::Decide`.
-  bool staged = false;  // Every result that the replica needs was made.
-  TimeUs staged_at = 0;
-  std::string stage_times;  // For logs: when each stage was whole.
+  // Expected wait in the stages' queues, at admission.
+  DurationUs expected_wait = 0;
+  // No stage was started yet; see `Gateway::Impl::DecideAdmission`.
+  bool parked = false;
+  // All stage results that the replica needs are available.
+  bool stages_done = false;
+  TimeUs stages_done_at = 0;
+  // For logs: the time at which each stage was complete.
+  std::string stage_times;
   int restarts = 0;
-  // Where most of the results that the engine fetches lie, once all are made.
+  // Failure domain that holds most of the results that the engine fetches; set
+  // when all stages are complete.
   std::string near_domain;
   std::uint64_t fetched_bytes = 0;
 
   Attempt attempt;
-  std::uint32_t runs = 0;  // Attempts that may have run.
+  std::uint32_t possible_runs = 0;  // Number of attempts that may have run.
   std::vector<ReplicaId> tried;
-  bool awaits_cold = false;  // See `Gateway::Impl::AwaitCold`.
+  bool awaits_cold = false;  // See `Gateway::Impl::AwaitColdReplica`.
   EventSplitter events;
-  bool begun = false;  // The client has the head of a stream.
-  TimeUs begun_at = 0;
+  bool stream_begun = false;  // The head of the stream was sent to the client.
+  TimeUs stream_begun_at = 0;
   std::optional<std::uint64_t> resume_after;
 };
 
@@ -118,59 +135,72 @@
                    const ClientCall& call,
                    const ClientAccount** account,
                    OwnAnswer* refusal);
-  // Whether a service that the request still needs has no replica that takes
+  // Whether a service that the request still needs has no replica that accepts
   // work; fills `refusal` if so.
   bool HasNoReplica(const ServingRequest& request, OwnAnswer* refusal);
-  // Whether the stages can be made in useful time; fills `refusal` if not.
-  Admission Decide(ServingRequest* request, OwnAnswer* refusal);
-  // Longest waits of the request's stages, and its work until the first event.
-  struct StageWaits {
+  // Decides whether the stages can be completed in time for the client; fills
+  // `refusal` if not.
+  Admission DecideAdmission(ServingRequest* request, OwnAnswer* refusal);
+  // Expected queueing and processing times of a request's stages.
+  struct StageEstimates {
+    // Sum of the queue waits if the request is on time.
     DurationUs in_time = 0;
+    // Longest queue wait of a stage if the request is late.
     DurationUs late = 0;
+    // Processing time until the first event, without queueing.
     DurationUs work = 0;
   };
-  StageWaits WaitsOf(const ServingRequest& request) const;
-  // Begins the first parked request if the queues have become short enough.
+  StageEstimates ExpectedWaits(const ServingRequest& request) const;
+  // Starts the first parked request whose queues have become short enough.
   void BeginParked();
-  // How long before this request's first attempt reached a gateway its client
-  // first sent it.
+  // Estimates how long ago the client first sent this request, if this is a
+  // retry after a refusal; otherwise zero.
   DurationUs ElapsedBefore(const Route& route, const ClientCall& call);
   std::string ChooseService(const Route& route);
+  // Retry-After for an admitted request that is refused; zero if too little
+  // time is left for a retry.
   DurationUs RetryAfter(const ServingRequest& request);
-  // The longest wait that a client with `left` honours, spread below it.
-  DurationUs RetryAfterLongest(DurationUs left);
-  // When a client comes back that was refused because keys cannot be checked.
-  DurationUs RetryAfterNotCurrent(const Route& route, const ClientCall& call);
+  // Returns the longest Retry-After that a client with `left` remaining
+  // accepts, with random spread below it.
+  DurationUs LongestRetryAfter(DurationUs left);
+  // Retry-After for a client refused because its key cannot be checked.
+  DurationUs RetryAfterUncheckedKey(const Route& route, const ClientCall& call);
 
   // gateway_stages.cc
-  std::vector<PieceOrder> OrdersOf(const ServingRequest& request,
-                                   std::uint32_t stage) const;
-  // Where the pieces of `stage` are best made; empty when it does not matter.
-  std::string NearDomain(const ServingRequest& request,
-                         std::uint32_t stage) const;
-  std::string DomainOfMost(const std::vector<std::string>& handles) const;
+  std::vector<PieceOrder> TasksOf(const ServingRequest& request,
+                                  std::uint32_t stage) const;
+  // Failure domain in which the pieces of `stage` are best made; empty if it
+  // does not matter.
+  std::string PreferredDomain(const ServingRequest& request,
+                              std::uint32_t stage) const;
+  // The failure domain that holds the most results of `handles`.
+  std::string MostCommonDomain(const std::vector<std::string>& handles) const;
   void RunStages(ServingRequest* request);
   void OnStagesDone(ServingRequest* request);
-  // `why` is for logs.
+  // Discards all results and starts the stages again. `why` is logged.
   void RestartStages(ServingRequest* request, std::string_view why);
 
-  // gateway.cc: ends.
+  // gateway.cc: the end of a request.
   void Refuse(ServingRequest* request, OwnAnswer answer);
-  void RefuseAtOnce(ExchangeId id, const ClientCall& call, OwnAnswer answer);
+  void RefuseUnadmitted(ExchangeId id,
+                        const ClientCall& call,
+                        OwnAnswer answer);
   void Finish(ServingRequest* request, std::string_view outcome, int status);
   void Expire(ServingRequest* request);
-  void SetDue(ServingRequest* request, TimeUs due_at);
+  void SetExpiry(ServingRequest* request, TimeUs expires_at);
 
-  // gateway_attempt.cc: one request at its replicas.
+  // gateway_attempt.cc: the attempts of a request.
   void StartAttempt(ServingRequest* request);
   const ReplicaEntry* ChooseReplica(ServingRequest* request);
   void SendTo(ServingRequest* request, const ReplicaEntry& replica);
-  // Whether a cold replica would take the request in a moment.
-  bool ColdTakesLater(const ServingRequest& request) const;
-  void AwaitCold(ServingRequest* request);
-  void RetryAwaiting();
-  // Of this gateway, to one of the service's replicas.
-  std::optional<std::size_t> MostIdleConnections(
+  // Whether a replica that is cold or warming up, and was not tried yet, may
+  // accept the request within a short time.
+  bool ColdReplicaMayTakeLater(const ServingRequest& request) const;
+  void AwaitColdReplica(ServingRequest* request);
+  void RetryAwaitingCold();
+  // Maximum number of idle connections that this gateway keeps to one replica
+  // of the request's service.
+  std::optional<std::size_t> MaxIdleConnections(
       const ServingRequest& request) const;
   void OnHead(ServingRequest* request, ReplicaHead head);
   void OnBody(ServingRequest* request, std::string_view bytes);
@@ -178,20 +208,20 @@
   void OnFailed(ServingRequest* request, bool sent, std::string_view why);
   void FailAttemptsAt(const ReplicaId& replica);
   void PassEvents(ServingRequest* request, std::string_view events);
-  void AnswerWhole(ServingRequest* request);
+  void FinishPlainAnswer(ServingRequest* request);
   void OnNotRun(ServingRequest* request);
   void OnMayHaveRun(ServingRequest* request, std::string_view why);
-  bool MayTryAgain(const ServingRequest& request) const;
-  void NoteArrived(ServingRequest* request);
+  bool MayRetry(const ServingRequest& request) const;
+  void ReportArrival(ServingRequest* request);
   void EndAttempt(ServingRequest* request);
   void CancelAttempt(ServingRequest* request);
 
-  ServingRequest* ByExchange(ExchangeId id);
-  ServingRequest* ByCall(CallId id);
-  PlainChoice& Plain(const std::string& service);
-  AttemptBudget& Budget(const std::string& service);
+  ServingRequest* FindByExchange(ExchangeId id);
+  ServingRequest* FindByCall(CallId id);
+  PlainChoice& PlainChoiceOf(const std::string& service);
+  AttemptBudget& ServiceBudget(const std::string& service);
   bool IsEngine(const ServingRequest& request) const;
-  bool Current() const;
+  bool ConfigIsConfirmed() const;
 
   GatewayOptions options;
   GatewayPorts* const ports;
@@ -203,23 +233,27 @@
 
   std::shared_ptr<const ServingConfig> config;
   TimeUs confirmed_at = -1;
-  std::size_t entries = 1;
+  // Number of gateways, including this one.
+  std::size_t gateway_count = 1;
+  // Set during shutdown; see `Gateway::RefuseStreams`.
   bool refuses_streams = false;
   bool another_is_current = false;
-  // By route, what nine in ten of its clients give at most, in microseconds.
-  std::map<std::string, double> usual_deadline;
+  // By route: 90th percentile of its clients' deadlines, in microseconds.
+  std::map<std::string, double> deadline_p90_us;
   ColdLimit cold;
   EngineChoice engines;
-  std::map<std::string, std::unique_ptr<PlainChoice>> plain;
+  std::map<std::string, std::unique_ptr<PlainChoice>> plain_choices;
   std::map<std::string, AttemptBudget> budgets;
   absl::flat_hash_map<ExchangeId, RequestPtr> requests;
   absl::flat_hash_map<CallId, ServingRequest*> by_call;
-  absl::flat_hash_map<std::string, ServingRequest*> by_client_id;
+  absl::flat_hash_map<std::string, ServingRequest*> by_request_id;
+  // By `expires_at`.
   std::set<std::pair<TimeUs, ExchangeId>> deadlines;
-  // By priority, then by when they came.
+  // Ordered by priority, then by time of arrival.
   std::set<std::tuple<std::uint32_t, TimeUs, ExchangeId>> parked;
+  // Earliest time at which the next parked request is started.
   TimeUs next_parked_at = 0;
-  // The same, of requests that wait for cold replicas.
+  // Requests waiting for capacity of a cold replica, in the same order.
   std::set<std::tuple<std::uint32_t, TimeUs, ExchangeId>> awaiting_cold;
 };
 
--- a/src/coordination/gateway/gateway_stages.cc
+++ b/src/coordination/gateway/gateway_stages.cc
@@ -1,4 +1,5 @@
-// The stages of one request: orders for pieces, and what their results lead to.
+// The stages of one request: submits tasks for their pieces and handles the
+// results.
 #include <algorithm>
 #include <map>
 
@@ -19,32 +20,33 @@
   return times;
 }
 
-std::string Gateway::Impl::DomainOfMost(
+std::string Gateway::Impl::MostCommonDomain(
     const std::vector<std::string>& handles) const {
   std::map<std::string, int> count;
   for (const auto& it : handles) {
-    if (const ReplicaEntry* maker = directory->MakerOf(it)) {
-      ++count[maker->domain];
+    if (const ReplicaEntry* producer = directory->MakerOf(it)) {
+      ++count[producer->domain];
     }
   }
-  const auto most = std::max_element(
+  const auto largest = std::max_element(
       count.begin(), count.end(),
       [](const auto& a, const auto& b) { return a.second < b.second; });
-  return most == count.end() ? std::string() : most->first;
+  return largest == count.end() ? std::string() : largest->first;
 }
 
-// Results that cross failure domains are priced by their bytes; small ones do
-// not matter.
-std::string Gateway::Impl::NearDomain(const ServingRequest& request,
-                                      std::uint32_t stage) const {
-  constexpr std::uint64_t kSmall = 32 << 10;
+// Transfers between failure domains are charged by their size. Small results
+// are not worth a preference.
+std::string Gateway::Impl::PreferredDomain(const ServingRequest& request,
+                                           std::uint32_t stage) const {
+  constexpr std::uint64_t kMinRelevantBytes = 32 << 10;
   const StageSpec& spec = request.route->stages[stage];
   for (const std::uint32_t needed : spec.after) {
-    if (request.route->stages[needed].result_bytes > kSmall) {
-      return DomainOfMost(request.progress.InputsOf(stage));
+    if (request.route->stages[needed].result_bytes > kMinRelevantBytes) {
+      return MostCommonDomain(request.progress.InputsOf(stage));
     }
   }
-  if (spec.result_bytes > kSmall && request.progress.TimeAfter(stage) == 0) {
+  if (spec.result_bytes > kMinRelevantBytes &&
+      request.progress.TimeAfter(stage) == 0) {
     const ReplicaEntry* home =
         engines.HomeOf(request.service, request.ForEngine());
     return home == nullptr ? std::string() : home->domain;
@@ -52,52 +54,53 @@
   return {};
 }
 
-std::vector<PieceOrder> Gateway::Impl::OrdersOf(const ServingRequest& request,
-                                                std::uint32_t stage) const {
+std::vector<PieceOrder> Gateway::Impl::TasksOf(const ServingRequest& request,
+                                               std::uint32_t stage) const {
   const TimeUs now = ports->Now();
   const StageSpec& spec = request.route->stages[stage];
-  PieceOrder order;
-  order.service = spec.service;
-  order.inputs = request.progress.InputsOf(stage);
+  PieceOrder task;
+  task.service = spec.service;
+  task.inputs = request.progress.InputsOf(stage);
   if (spec.after.empty()) {
-    order.source = request.call.piece_key;
+    task.source = request.call.piece_key;
   }
-  // Made later than this, the piece could not lead to an answer in time.
-  const DurationUs after_this = request.progress.TimeAfter(stage) + kEngineTime;
-  order.time_left = request.answer_by - now - after_this;
-  order.waited = now - request.received_at;
-  order.time_to_begin =
-      request.target_by - now - request.progress.TimeLeft() - kEngineTime;
+  // A piece completed later than this could not lead to an answer in time.
+  const DurationUs remaining_work =
+      request.progress.TimeAfter(stage) + kEngineFirstEventTime;
+  task.time_left = request.first_response_by - now - remaining_work;
+  task.waited = now - request.received_at;
+  task.time_to_begin = request.target_by - now - request.progress.TimeLeft() -
+                       kEngineFirstEventTime;
   for (const std::uint32_t needed : spec.after) {
-    order.holds_bytes += request.route->stages[needed].result_bytes *
-                         request.progress.Pieces(needed);
+    task.holds_bytes += request.route->stages[needed].result_bytes *
+                        request.progress.Pieces(needed);
   }
-  order.priority = request.priority;
-  order.result_bytes = spec.result_bytes;
+  task.priority = request.priority;
+  task.result_bytes = spec.result_bytes;
   if (request.progress.OnlyUserOfItsInputs(stage)) {
-    order.sole_users = request.progress.Pieces(stage);
+    task.sole_users = request.progress.Pieces(stage);
   }
-  order.near_domain = NearDomain(request, stage);
-  order.holds_bytes /= std::max(1U, request.progress.Pieces(stage));
-  std::vector<PieceOrder> orders;
+  task.near_domain = PreferredDomain(request, stage);
+  task.holds_bytes /= std::max(1U, request.progress.Pieces(stage));
+  std::vector<PieceOrder> tasks;
   for (std::uint32_t n = 0; n < request.progress.Pieces(stage); ++n) {
-    order.key = {request.call.id, stage, n};
-    orders.push_back(order);
+    task.key = {request.call.id, stage, n};
+    tasks.push_back(task);
   }
-  return orders;
+  return tasks;
 }
 
 void Gateway::Impl::RunStages(ServingRequest* request) {
   const TimeUs now = ports->Now();
   const ExchangeId id = request->id;
   for (const std::uint32_t stage : request->progress.TakeReady()) {
-    std::vector<PieceOrder> orders = OrdersOf(*request, stage);
-    if (orders.empty()) {
+    std::vector<PieceOrder> tasks = TasksOf(*request, stage);
+    if (tasks.empty()) {
       continue;
     }
-    desk->Submit(now, std::move(orders));
-    if (ByExchange(id) == nullptr) {
-      return;  // Refused at once.
+    desk->Submit(now, std::move(tasks));
+    if (FindByExchange(id) == nullptr) {
+      return;  // The request was refused during `Submit`.
     }
   }
   if (request->progress.Complete()) {
@@ -106,29 +109,32 @@
 }
 
 void Gateway::Impl::OnStagesDone(ServingRequest* request) {
-  request->staged = true;
-  request->staged_at = ports->Now();
-  request->near_domain = DomainOfMost(request->progress.FinalResults());
+  request->stages_done = true;
+  request->stages_done_at = ports->Now();
+  request->near_domain = MostCommonDomain(request->progress.FinalResults());
   request->fetched_bytes = request->progress.FinalBytes();
   StartAttempt(request);
 }
 
-// Results live a few seconds and end with their maker; the stages are made
-// again when one is gone, as long as the request has time for it.
+// Results expire after a few seconds and are lost when their replica ends. If
+// one is lost, all stages of the request run again, as long as there is time
+// for it.
 void Gateway::Impl::RestartStages(ServingRequest* request,
                                   std::string_view why) {
   desk->Free(request->progress.TakeAll());
   desk->Drop(request->call.id);
-  if (++request->restarts > kMostRestarts) {
-    Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
-                     "results of stages were lost too often"});
+  if (++request->restarts > kMaxStageRestarts) {
+    Refuse(
+        request,
+        {Refusal::kFull, Verdict::kNotRun, 0,
+         "stage results were lost more often than the restart limit allows"});
     return;
   }
   request->progress.Restart();
-  const DurationUs left = request->answer_by - ports->Now();
-  if (request->progress.TimeLeft() + kEngineTime > left) {
+  const DurationUs left = request->first_response_by - ports->Now();
+  if (request->progress.TimeLeft() + kEngineFirstEventTime > left) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
-                     StrCat("no time to begin again: ", why)});
+                     StrCat("not enough time to run the stages again: ", why)});
     return;
   }
   log->Write(
@@ -137,7 +143,7 @@
        {"why", why},
        {"stages_ms", request->stage_times},
        {"after_ms", (ports->Now() - request->received_at) / kMillisecond}});
-  request->staged = false;
+  request->stages_done = false;
   RunStages(request);
 }
 
--- a/tests/gateway/choices_test.cc
+++ b/tests/gateway/choices_test.cc
@@ -177,10 +177,10 @@
   EventSplitter splitter;
   EXPECT_EQ(splitter.Add("id: 7\ndata: a\n"), "");
   EXPECT_EQ(splitter.Add("\nid: 8\n"), "id: 7\ndata: a\n\n");
-  EXPECT_EQ(splitter.last_id(), 7U);
+  EXPECT_EQ(splitter.last_event_id(), 7U);
   EXPECT_EQ(splitter.Add("data: b\r\n\r"), "");
   EXPECT_EQ(splitter.Add("\n"), "id: 8\ndata: b\r\n\r\n");
-  EXPECT_EQ(splitter.last_id(), 8U);
+  EXPECT_EQ(splitter.last_event_id(), 8U);
 }
 
 // Load: a large result beside a chain of three stages. It is made when the last
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -276,7 +276,7 @@
   const ExchangeId id = rig.Call("stream");
   const CallId call = rig.sent[0].call;
   rig.core.OnReplicaHead(call, GatewayRig::Head());
-  rig.unsent = Gateway::kMostUnsent + 1;
+  rig.unsent = Gateway::kMaxUnsentBytes + 1;
   rig.core.OnReplicaBody(call, "id: 1\ndata: a\n\n");
   EXPECT_TRUE(rig.paused[call]);
   rig.core.OnWritten(id);
