--- a/src/coordination/admission/account_table.h
+++ b/src/coordination/admission/account_table.h
@@ -1,5 +1,5 @@
-// Dense numbers for account names, so that counts by account are small maps of
-// integers.
+// Maps account names to dense numbers, so that counts by account are small maps
+// keyed by integers.
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_ACCOUNT_TABLE_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_ACCOUNT_TABLE_H_
 
@@ -15,7 +15,7 @@
 
 class AccountTable {
  public:
-  // Takes the shares of `settings`; a number, once given, stays.
+  // Applies the account shares of `settings`. An account keeps its number.
   void Apply(const Settings& settings) {
     for (const auto& [unused, branch] : settings.branches()) {
       for (const auto& [name, account] : branch.accounts) {
@@ -23,21 +23,22 @@
       }
     }
   }
-  // An account that no branch defines gets a share of one.
+  // Returns the number of an account, assigning one if necessary. An account
+  // that no settings branch defines has a share of one.
   AccountIndex IndexOf(std::string_view name) {
-    const auto it = numbers_.find({name.data(), name.size()});
-    if (it != numbers_.end()) {
+    const auto it = indices_.find({name.data(), name.size()});
+    if (it != indices_.end()) {
       return it->second;
     }
     weights_.push_back(1);
-    const auto n = static_cast<AccountIndex>(numbers_.size());
-    numbers_.emplace(name, n);
+    const auto n = static_cast<AccountIndex>(indices_.size());
+    indices_.emplace(name, n);
     return n;
   }
   double WeightOf(AccountIndex account) const { return weights_[account]; }
 
  private:
-  absl::flat_hash_map<std::string, AccountIndex> numbers_;
+  absl::flat_hash_map<std::string, AccountIndex> indices_;
   std::vector<double> weights_;
 };
 
--- a/src/coordination/admission/admission.cc
+++ b/src/coordination/admission/admission.cc
@@ -7,31 +7,31 @@
 AdmissionVerdict Admission::Decide(const PipelineEstimate& pipeline,
                                    const Arrival& arrival) const {
   DurationUs needed = 0;
-  DurationUs longest = 0;
-  SharedPool* tightest = nullptr;
+  DurationUs longest_wait = 0;
+  SharedPool* most_loaded = nullptr;
   for (const StageEstimate& stage : pipeline) {
     const DurationUs wait = stage.pool->load.Wait(arrival.caller_class);
     needed += wait + (stage.service > 0 ? stage.service
                                         : stage.pool->load.MeanService());
-    if (wait > longest) {
-      longest = wait;
-      tightest = stage.pool;
+    if (wait > longest_wait) {
+      longest_wait = wait;
+      most_loaded = stage.pool;
     }
   }
-  if (tightest == nullptr) {
+  if (most_loaded == nullptr) {
     return {};
   }
-  const auto usable =
-      static_cast<DurationUs>(kUse * static_cast<double>(arrival.time_left));
-  if (needed > usable) {
-    return {Refusal::kFull, tightest, needed - usable};
+  const auto usable_time = static_cast<DurationUs>(
+      kUsableTimeShare * static_cast<double>(arrival.time_left));
+  if (needed > usable_time) {
+    return {Refusal::kFull, most_loaded, needed - usable_time};
   }
-  const auto contended = static_cast<DurationUs>(
-      kContended[static_cast<std::size_t>(arrival.caller_class)] *
-      static_cast<double>(usable));
-  if (longest > contended &&
-      !tightest->shares.HasCredit(arrival.account, arrival.weight)) {
-    return {Refusal::kOverShare, tightest, longest - contended};
+  const auto contended_wait = static_cast<DurationUs>(
+      kContendedShare[static_cast<std::size_t>(arrival.caller_class)] *
+      static_cast<double>(usable_time));
+  if (longest_wait > contended_wait &&
+      !most_loaded->shares.HasCredit(arrival.account, arrival.weight)) {
+    return {Refusal::kOverShare, most_loaded, longest_wait - contended_wait};
   }
   return {};
 }
--- a/src/coordination/admission/admission.h
+++ b/src/coordination/admission/admission.h
@@ -1,14 +1,15 @@
-// Whether a request is taken, before any stage has cost anything.
+// Decides whether a request is admitted, before any of its stages runs.
 //
-// Load pattern: more work comes than generation can serve, while the stages
-// before it are idle. Without this every request is encoded, retrieved and
-// reranked, waits at generation, and most are late: the dearest stage works for
-// callers who have gone. A request is taken when, over all its stages, the wait
-// at each pool now plus the service times fit into `kUse` of its time left.
+// If more work arrives than the generation stage can serve while the stages
+// before it are idle, every request would be encoded, retrieved and reranked
+// and then wait at generation, and most would be late: the most expensive stage
+// would work for callers who have already disconnected. A request is therefore
+// admitted only if the sum over all its stages of the current queue wait and
+// the service time fits into `kUsableTimeShare` of its remaining time.
 //
-// Load pattern: the same, from one account. While the wait at the tightest pool
-// is above `kContended` of what may be planned, a request needs a credit of its
-// account there; see fair_share.h.
+// If one account causes the overload, per-account fairness applies: while the
+// queue wait at the most loaded pool exceeds `kContendedShare` of the usable
+// time, a request needs a credit of its account at that pool; see fair_share.h.
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_ADMISSION_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_ADMISSION_H_
 
@@ -21,20 +22,22 @@
 
 namespace acaciachute {
 
-// A pool as one entry uses it.
+// State that one entry keeps for a pool.
 struct SharedPool {
   PoolLoad load;
   FairShare shares;
+  // Replicas of the pool that this entry uses; see subset.h.
   std::vector<Replica*> subset;
 };
 
-// One event's stages, with what is known of their cost.
+// One stage of an event, with its expected service time.
 struct StageEstimate {
   SharedPool* pool = nullptr;
-  DurationUs service = 0;  // Moving mean; zero until the first answer.
+  DurationUs service = 0;  // Moving average; zero until the first answer.
 };
 using PipelineEstimate = std::vector<StageEstimate>;
 
+// A request to be decided on.
 struct Arrival {
   CallerClass caller_class = CallerClass::kPatient;
   AccountIndex account = 0;
@@ -44,24 +47,29 @@
 
 struct AdmissionVerdict {
   Refusal reason = Refusal::kNone;
-  const SharedPool* pool = nullptr;  // Where it would not fit.
-  DurationUs wait = 0;               // Until it might.
+  // The pool with the longest queue wait.
+  const SharedPool* pool = nullptr;
+  // Time after which the request might be admitted.
+  DurationUs wait = 0;
 };
 
 class Admission {
  public:
-  // Share of the time left that may be planned. The rest covers the spread of
-  // service times and the age of reports; in the bench 0.8 serves less at 1.3x
-  // and 0.95 lets more be late.
-  static constexpr double kUse = 0.9;
-  // By class. Below this the queue absorbs what randomness brings; above it,
-  // whoever sends more than its share makes it longer. For patient work the
-  // bench argues for a quarter: at a tenth slots run empty while reports are
-  // 2 s late, at a half a hot account costs the others 4 points. Urgent work
-  // waits for one patient service in any case, which alone is a seventh of its
-  // time left when generation is slow.
-  static constexpr std::array<double, kCallerClassNames.size()> kContended = {
-      0.5, 0.25};
+  // Share of the remaining time that may be planned. The remainder covers the
+  // variation of service times and the age of load reports. In the decision
+  // benchmark, 0.8 serves fewer requests at 1.3 times the capacity, and 0.95
+  // makes more of them late.
+  static constexpr double kUsableTimeShare = 0.9;
+  // By class: share of the usable time above which a queue wait counts as
+  // contention. Below it, the queue only absorbs random variation; above it,
+  // the accounts that send more than their share lengthen it. For patient work
+  // the decision benchmark supports a quarter: with a tenth, slots become idle
+  // while load reports are 2 s late; with a half, an account with excessive
+  // load costs the others 4 percentage points. Urgent work has a higher value
+  // because it always waits for one patient service, which alone takes a
+  // seventh of its remaining time when generation is slow.
+  static constexpr std::array<double, kCallerClassNames.size()>
+      kContendedShare = {0.5, 0.25};
 
   AdmissionVerdict Decide(const PipelineEstimate& pipeline,
                           const Arrival& arrival) const;
--- a/src/coordination/admission/class_queue.cc
+++ b/src/coordination/admission/class_queue.cc
@@ -4,44 +4,46 @@
 
 namespace acaciachute {
 
-ClassQueue::Line& ClassQueue::LineOf(const WaitingCall& call) {
-  return lines_[static_cast<std::size_t>(call.caller_class)]
-               [call.is_long ? 1 : 0];
+ClassQueue::CallQueue& ClassQueue::QueueOf(const WaitingCall& call) {
+  return queues_[static_cast<std::size_t>(call.caller_class)]
+                [call.is_long ? 1 : 0];
 }
 
 void ClassQueue::Push(const WaitingCall& call) {
-  LineOf(call).emplace(Order(call.deadline, call.key), call);
+  QueueOf(call).emplace(SortKey(call.deadline, call.key), call);
   calls_[call.key] = call;
 }
 
-WaitingCall ClassQueue::Take(Line* line, Line::iterator it) {
+WaitingCall ClassQueue::Take(CallQueue* queue, CallQueue::iterator it) {
   WaitingCall call = it->second;
-  line->erase(it);
+  queue->erase(it);
   calls_.erase(call.key);
   return call;
 }
 
-// The line whose head starts first; null when the class has nothing to start.
-ClassQueue::Line* ClassQueue::NextIn(CallerClass caller_class,
-                                     bool long_allowed) {
-  auto& [short_line, long_line] =
-      lines_[static_cast<std::size_t>(caller_class)];
-  if (long_line.empty() || !long_allowed) {
-    return short_line.empty() ? nullptr : &short_line;
+// Returns the queue whose first call starts next; null if the class has no call
+// that may start.
+ClassQueue::CallQueue* ClassQueue::NextQueue(CallerClass caller_class,
+                                             bool long_allowed) {
+  auto& [short_queue, long_queue] =
+      queues_[static_cast<std::size_t>(caller_class)];
+  if (long_queue.empty() || !long_allowed) {
+    return short_queue.empty() ? nullptr : &short_queue;
   }
-  const bool short_first = !short_line.empty() &&
-                           short_line.begin()->first < long_line.begin()->first;
-  return short_first ? &short_line : &long_line;
+  const bool short_first =
+      !short_queue.empty() &&
+      short_queue.begin()->first < long_queue.begin()->first;
+  return short_first ? &short_queue : &long_queue;
 }
 
 std::optional<WaitingCall> ClassQueue::Pop(bool long_allowed) {
-  Line* urgent = NextIn(CallerClass::kUrgent, long_allowed);
-  Line* patient = NextIn(CallerClass::kPatient, long_allowed);
+  CallQueue* urgent = NextQueue(CallerClass::kUrgent, long_allowed);
+  CallQueue* patient = NextQueue(CallerClass::kPatient, long_allowed);
   if (urgent == nullptr && patient == nullptr) {
     return std::nullopt;
   }
   const bool patient_turn =
-      patient != nullptr && urgent_in_row_ >= kUrgentInRow;
+      patient != nullptr && urgent_in_row_ >= kMaxUrgentInRow;
   if (urgent == nullptr || patient_turn) {
     urgent_in_row_ = 0;
     return Take(patient, patient->begin());
@@ -51,16 +53,17 @@
 }
 
 std::optional<WaitingCall> ClassQueue::PopLastPatient() {
-  auto& [short_line, long_line] =
-      lines_[static_cast<std::size_t>(CallerClass::kPatient)];
-  if (short_line.empty() && long_line.empty()) {
+  auto& [short_queue, long_queue] =
+      queues_[static_cast<std::size_t>(CallerClass::kPatient)];
+  if (short_queue.empty() && long_queue.empty()) {
     return std::nullopt;
   }
-  const bool take_long = short_line.empty() ||
-                         (!long_line.empty() && long_line.rbegin()->first >
-                                                    short_line.rbegin()->first);
-  Line* line = take_long ? &long_line : &short_line;
-  return Take(line, std::prev(line->end()));
+  const bool take_long =
+      short_queue.empty() ||
+      (!long_queue.empty() &&
+       long_queue.rbegin()->first > short_queue.rbegin()->first);
+  CallQueue* queue = take_long ? &long_queue : &short_queue;
+  return Take(queue, std::prev(queue->end()));
 }
 
 void ClassQueue::Remove(const StageKey& key) {
@@ -69,7 +72,7 @@
     return;
   }
   const WaitingCall call = it->second;
-  LineOf(call).erase(Order(call.deadline, call.key));
+  QueueOf(call).erase(SortKey(call.deadline, call.key));
   calls_.erase(key);
 }
 
@@ -77,10 +80,10 @@
   std::size_t ahead = 0;
   for (std::size_t n = 0; n <= static_cast<std::size_t>(caller_class); ++n) {
     const bool own = n == static_cast<std::size_t>(caller_class);
-    for (const Line& line : lines_[n]) {
+    for (const CallQueue& queue : queues_[n]) {
       ahead += own ? static_cast<std::size_t>(std::distance(
-                         line.begin(), line.lower_bound({deadline, {}})))
-                   : line.size();
+                         queue.begin(), queue.lower_bound({deadline, {}})))
+                   : queue.size();
     }
   }
   return ahead;
--- a/src/coordination/admission/concurrency_limit.h
+++ b/src/coordination/admission/concurrency_limit.h
@@ -1,17 +1,18 @@
-// How many calls a sidecar keeps in progress at its upstream.
+// Limits the number of calls that a sidecar keeps in progress at its upstream.
 //
-// Load pattern: an upstream batches, so its best number is not one; past it,
-// answers only get slower and wait in a queue where no class or deadline counts
-// any longer. The number moves with the model, the prompt lengths and the
-// host's health, and the upstream's own report of its load comes late. A fixed
-// number either leaves the engine idle or moves the queue into it.
+// An upstream serves calls in batches, so its optimal concurrency is greater
+// than one; beyond the optimum, answers only become slower and wait in the
+// upstream's own queue, which ignores classes and deadlines. The optimum
+// depends on the model, the prompt lengths and the health of the host, and the
+// upstream's own load reports are late. A fixed limit would either leave the
+// engine idle or move the queue into it.
 //
-// The limit grows by one a round of answers while it is in use, and falls by a
-// tenth when answers take twice their best median or the upstream reports a
-// queue: additive increase and multiplicative decrease, which settles whatever
-// the start (Chiu and Jain, 1989). The signal is latency against a recent best,
-// as in TCP Vegas (Brakmo and Peterson, 1994) and in the gradient limits that
-// services use for the same purpose.
+// The limit grows by one per round of answers while it is fully used, and falls
+// by a tenth when answers take twice their best median or when the upstream
+// reports a queue: additive increase and multiplicative decrease, which
+// converges from any start (Chiu and Jain, 1989). The signal is the latency
+// relative to a recent best, as in TCP Vegas (Brakmo and Peterson, 1994) and in
+// the gradient-based limits that services use for the same purpose.
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_CONCURRENCY_LIMIT_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_CONCURRENCY_LIMIT_H_
 
@@ -23,24 +24,28 @@
 
 class ConcurrencyLimit {
  public:
-  // Twice the best median: batching alone slows an answer by less than that up
-  // to the batch that an engine is sized for, a queue soon by more.
-  static constexpr double kSlow = 2.0;
-  static constexpr double kDecrease = 0.9;
-  // The best median is sought over one to two of these, so that a lasting
-  // change of the work itself becomes the new measure within a minute.
-  static constexpr DurationUs kWindow = 30 * kSecond;
-  // A decrease shows in answers and reports only after those in progress have
-  // ended; until then it is not repeated. At least this.
-  static constexpr DurationUs kMinGap = 100 * kMillisecond;
+  // Answers count as slow if their median exceeds the best median by this
+  // factor. Batching alone slows an answer by less than that, up to the batch
+  // size that an engine is designed for; queueing soon exceeds it.
+  static constexpr double kSlowFactor = 2.0;
+  static constexpr double kDecreaseFactor = 0.9;
+  // The best median is the minimum over one to two of these windows, so that a
+  // lasting change of the work itself becomes the new reference within a
+  // minute.
+  static constexpr DurationUs kBestMedianWindow = 30 * kSecond;
+  // Minimum time between decreases. The effect of a decrease shows in answers
+  // and reports only after the calls in progress have ended, so the time
+  // between decreases is at least the median answer time, too.
+  static constexpr DurationUs kMinDecreaseInterval = 100 * kMillisecond;
 
-  // Starts at `most`, which the operator set; never leaves [1, most].
-  explicit ConcurrencyLimit(std::uint32_t most);
+  // Starts at `max_limit`, which the operator set; always stays within [1,
+  // max_limit].
+  explicit ConcurrencyLimit(std::uint32_t max_limit);
 
-  // A call ended whole after `service`; `in_progress` counts it.
+  // A call was answered completely after `service`; `in_progress` includes it.
   void OnAnswer(TimeUs now, DurationUs service, std::uint32_t in_progress);
-  // The upstream's word, asked for at `asked_at`. What it says of the time
-  // before the last decrease is not acted on again.
+  // The upstream's load report, requested at `asked_at`. A queue reported for a
+  // time before the last decrease causes no further decrease.
   void OnReport(TimeUs now, TimeUs asked_at, const LoadReport& report);
 
   std::uint32_t Current() const { return static_cast<std::uint32_t>(limit_); }
@@ -48,14 +53,15 @@
  private:
   void Decrease(TimeUs now);
   void Observe(TimeUs now, DurationUs service);
-  DurationUs Best() const;
+  DurationUs BestMedian() const;
 
-  const double most_;
+  const double max_limit_;
   double limit_;
-  std::uint32_t upstream_slots_ = 0;  // As it reports; zero when it does not.
+  // As reported by the upstream; zero if not reported.
+  std::uint32_t upstream_slots_ = 0;
   DurationUs median_ = 0;
-  DurationUs best_current_ = 0;
-  DurationUs best_previous_ = 0;
+  DurationUs best_in_window_ = 0;
+  DurationUs best_in_previous_window_ = 0;
   TimeUs window_start_ = 0;
   TimeUs decreased_at_ = 0;
 };
--- a/src/coordination/admission/fair_share.cc
+++ b/src/coordination/admission/fair_share.cc
@@ -5,63 +5,69 @@
 namespace acaciachute {
 namespace {
 
-// Answers between two looks for accounts that are at their cap again; a share
-// of the accounts, so that the looks cost a few operations an answer.
-constexpr std::size_t kLeastSweep = 16;
+// Minimum number of answers between two sweeps, which remove accounts whose
+// credits have reached the maximum. The interval grows with the number of
+// accounts, so that sweeps cost a few operations per answer.
+constexpr std::size_t kMinAnswersPerSweep = 16;
 
 }  // namespace
 
-void FairShare::Refresh(Balance* balance) const {
+void FairShare::RefreshCredits(Balance* balance) const {
   balance->credits = std::min(
-      kCap, balance->credits + balance->weight * (granted_ - balance->seen));
-  balance->seen = granted_;
+      kMaxCredits, balance->credits +
+                       balance->weight *
+                           (granted_per_weight_ - balance->granted_at_refresh));
+  balance->granted_at_refresh = granted_per_weight_;
 }
 
 bool FairShare::HasCredit(AccountIndex account, double weight) {
-  const auto it = below_cap_.find(account);
-  if (it == below_cap_.end()) {
+  const auto it = below_max_credits_.find(account);
+  if (it == below_max_credits_.end()) {
     return true;
   }
-  Refresh(&it->second);
+  RefreshCredits(&it->second);
   return it->second.credits >= 1;
 }
 
 void FairShare::Spend(AccountIndex account, double weight, bool full) {
-  const auto [it, is_new] = below_cap_.try_emplace(account);
+  const auto [it, is_new] = below_max_credits_.try_emplace(account);
   Balance& balance = it->second;
   if (is_new) {
     balance.weight = weight;
-    balance.seen = granted_;
-    weight_ += weight;
+    balance.granted_at_refresh = granted_per_weight_;
+    total_weight_ += weight;
   }
-  Refresh(&balance);
-  const double floor = full ? -kDebt : std::min(kRoom, balance.credits);
+  RefreshCredits(&balance);
+  const double floor =
+      full ? -kMaxDebt : std::min(kMinUncontendedCredits, balance.credits);
   balance.credits = std::max(floor, balance.credits - 1);
 }
 
 void FairShare::OnAnswer() {
-  if (below_cap_.empty()) {
+  if (below_max_credits_.empty()) {
     return;
   }
-  granted_ += 1 / weight_;
+  granted_per_weight_ += 1 / total_weight_;
   if (answers_until_sweep_ == 0) {
     Sweep();
-    answers_until_sweep_ = std::max(kLeastSweep, below_cap_.size() / 4);
+    answers_until_sweep_ =
+        std::max(kMinAnswersPerSweep, below_max_credits_.size() / 4);
   }
   --answers_until_sweep_;
 }
 
 void FairShare::Sweep() {
   double weight = 0;
-  for (auto& [unused, balance] : below_cap_) {
-    Refresh(&balance);
+  for (auto& [unused, balance] : below_max_credits_) {
+    RefreshCredits(&balance);
   }
-  absl::erase_if(below_cap_,
-                 [](const auto& it) { return it.second.credits >= kCap; });
-  for (const auto& [unused, balance] : below_cap_) {
+  absl::erase_if(below_max_credits_, [](const auto& it) {
+    return it.second.credits >= kMaxCredits;
+  });
+  for (const auto& [unused, balance] : below_max_credits_) {
     weight += balance.weight;
   }
-  weight_ = weight;
+  total_weight_ = weight;
 }
 
 }  // namespace acaciachute
--- a/src/coordination/admission/fair_share.h
+++ b/src/coordination/admission/fair_share.h
@@ -1,13 +1,14 @@
-// Whose requests are taken while a pool is full.
+// Divides a pool among client accounts while it is full.
 //
-// Load pattern: one account sends ten times its share. Without shares every
-// account is refused as often as it is, and a queue in order of arrival serves
-// whoever sends most. Here each answer of the pool gives one credit, split by
-// weight among the accounts that are below their cap; while the pool is full, a
-// request needs a credit. Credits come as fast as the pool works, so what is
-// taken never outgrows it, whatever the rate is; an account that asks for less
-// than its share stays at its cap and leaves its part to the others (deficit
-// round robin, Shreedhar and Varghese 1995, with refusal in place of a queue).
+// If one account sends ten times its share, without this safeguard every other
+// account would be refused as often as it is, and a queue in order of arrival
+// would favor whoever sends most. Each answer of the pool grants one credit,
+// divided by weight among the accounts below `kMaxCredits`; while the pool is
+// full, a request needs a credit. Credits are granted at the rate at which the
+// pool works, so the admitted requests never exceed its capacity, whatever that
+// is. An account that needs less than its share stays at the maximum and leaves
+// its part to the others (deficit round robin, Shreedhar and Varghese 1995,
+// with refusals in place of a queue).
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_FAIR_SHARE_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_FAIR_SHARE_H_
 
@@ -18,48 +19,57 @@
 
 namespace acaciachute {
 
-// Dense number of an account, given by `AccountTable`.
+// Dense number of an account, assigned by `AccountTable`.
 using AccountIndex = std::uint32_t;
 
 class FairShare {
  public:
-  // Requests an account may be ahead of its share. Two or three seconds of a
-  // small account's requests at today's rates, so that their randomness alone
-  // refuses none.
-  static constexpr double kCap = 8;
-  // Requests an account may be behind, taken while there was room or as urgent
-  // work: it pays them back first when the pool is full, but no further back
-  // than about a second of a large account's answers.
-  static constexpr double kDebt = 16;
+  // Limit on the credits of an account, that is, on the requests by which it
+  // may exceed its share. Equals two or three seconds of a small account's
+  // requests at present rates, so that random variation alone does not cause
+  // refusals.
+  static constexpr double kMaxCredits = 8;
+  // Limit on an account's debt: requests admitted without a credit, either as
+  // urgent work or while the pool was not full. The account pays the debt back
+  // first when the pool is full. The limit equals about a second of a large
+  // account's answers.
+  static constexpr double kMaxDebt = 16;
 
-  // While there is room credits only say who asked lately; an account may not
-  // come out of that in debt, or chance would refuse small ones first.
-  static constexpr double kRoom = kCap / 2;
+  // While the pool is not full, credits only record who sent requests recently.
+  // An account must not enter contention in debt from such a time, because
+  // small accounts would then be refused by chance.
+  static constexpr double kMinUncontendedCredits = kMaxCredits / 2;
 
   bool HasCredit(AccountIndex account, double weight);
-  // A request of the account was taken, on credit or not. While the pool has
-  // room, nobody falls below `kRoom`.
+  // A request of the account was admitted, with or without a credit. If the
+  // pool is not `full`, this does not take the account below
+  // `kMinUncontendedCredits`.
   void Spend(AccountIndex account, double weight, bool full);
   // The pool answered one request of any account.
   void OnAnswer();
 
-  // Accounts below their cap, the only ones that take memory.
-  std::size_t size() const { return below_cap_.size(); }
+  // Number of accounts below `kMaxCredits`; only these are stored.
+  std::size_t size() const { return below_max_credits_.size(); }
 
  private:
   struct Balance {
-    double credits = kCap;
-    double seen = 0;  // `granted_` when `credits` was true.
+    double credits = kMaxCredits;
+    // Value of `granted_per_weight_` at the last refresh of `credits`.
+    double granted_at_refresh = 0;
     double weight = 1;
   };
   using Balances = absl::flat_hash_map<AccountIndex, Balance>;
 
-  void Refresh(Balance* balance) const;
+  // Adds the credits granted since the last refresh.
+  void RefreshCredits(Balance* balance) const;
+  // Removes the accounts whose credits have reached the maximum.
   void Sweep();
 
-  Balances below_cap_;
-  double weight_ = 0;   // Of accounts below their cap.
-  double granted_ = 0;  // Credits given so far to an account of weight one.
+  Balances below_max_credits_;
+  // Sum over the stored accounts.
+  double total_weight_ = 0;
+  double granted_per_weight_ =
+      0;  // Credits granted so far to an account of weight one.
   std::size_t answers_until_sweep_ = 0;
 };
 
--- a/src/coordination/admission/load_control.cc
+++ b/src/coordination/admission/load_control.cc
@@ -7,9 +7,10 @@
 namespace acaciachute {
 namespace {
 
-// Weight of the newest answer in a stage's mean service time: at a few dozen
-// answers a second, the last second or so.
-constexpr int kServiceWeight = 16;
+// The newest answer has a weight of 1/kServiceAverageDivisor in a stage's
+// average service time. At a few dozen answers per second, the average covers
+// about the last second.
+constexpr int kServiceAverageDivisor = 16;
 
 }  // namespace
 
@@ -17,7 +18,7 @@
     : entry_(std::move(entry)),
       replicas_(replicas),
       router_(random),
-      returns_(random) {}
+      return_schedule_(random) {}
 
 SharedPool* LoadControl::PoolNamed(std::string_view name) {
   const auto it = pools_.find({name.data(), name.size()});
@@ -32,8 +33,8 @@
 void LoadControl::OnSettings(SettingsPtr settings) {
   settings_ = std::move(settings);
   accounts_.Apply(*settings_);
-  // Pools stay for the requests that are counted in them; their sums are built
-  // again, because replicas may have gone.
+  // Pools are kept because requests in progress are counted in them. Their sums
+  // are rebuilt, because replicas may have been removed.
   for (auto& [unused, pool] : pools_) {
     pool->load.Clear();
     pool->subset.clear();
@@ -50,11 +51,11 @@
       pool->load.Update(replica);
     }
   }
-  // A request keeps the estimate it was admitted under.
-  events_.clear();
+  // Requests in progress keep the estimate that they were admitted under.
+  estimates_.clear();
 }
 
-// Sums are of the subset: what the entry may use and help to fill.
+// The sums of a pool cover only the subset of replicas that this entry uses.
 void LoadControl::Update(Replica* replica) {
   if (replica->in_subset) {
     PoolNamed(replica->pool)->load.Update(replica);
@@ -76,7 +77,7 @@
 const std::shared_ptr<PipelineEstimate>& LoadControl::EstimateOf(
     std::string_view name,
     const Event& event) {
-  auto& estimate = events_[std::string(name)];
+  auto& estimate = estimates_[std::string(name)];
   if (estimate == nullptr) {
     estimate = std::make_shared<PipelineEstimate>();
     for (const Stage& stage : event.stages) {
@@ -102,7 +103,8 @@
   const AdmissionVerdict verdict = admission_.Decide(*pipeline, arrival);
   if (verdict.reason != Refusal::kNone) {
     return {verdict.reason,
-            returns_.Next(now, verdict.wait, verdict.pool->load.CallTime())};
+            return_schedule_.Next(now, verdict.wait,
+                                  verdict.pool->load.CallTime())};
   }
   load->pipeline = pipeline;
   load->caller_class = caller_class;
@@ -145,30 +147,31 @@
   if (settings == settings_) {
     Replica* replica = router_.Choose(now, PoolNamed(pool)->subset, tried,
                                       caller_class, idempotent);
-    // The whole pool only when nothing of the subset is left.
+    // Falls back to the whole pool only if no replica of the subset accepts the
+    // call.
     return replica != nullptr ? replica
                               : router_.Choose(now, replicas_->InPool(pool),
                                                tried, caller_class, idempotent);
   }
-  // Failure: a replica moved to another pool after the request was admitted.
-  // Symptom: it gets the wrong stage. The request keeps the pool of its own
-  // settings.
-  const Pool* old = settings->FindPool(pool);
-  std::vector<Replica*> known;
-  for (const auto& address :
-       old == nullptr ? std::vector<ReplicaAddress>() : old->replicas) {
+  // A replica may have moved to another pool since the request was admitted,
+  // and must not get the wrong stage. The request keeps the pool of the
+  // settings that it was admitted under.
+  const Pool* old_pool = settings->FindPool(pool);
+  std::vector<Replica*> known_replicas;
+  for (const auto& address : old_pool == nullptr ? std::vector<ReplicaAddress>()
+                                                 : old_pool->replicas) {
     if (Replica* replica = replicas_->Find(address.node)) {
-      known.push_back(replica);
+      known_replicas.push_back(replica);
     }
   }
-  return router_.Choose(now, known, tried, caller_class, idempotent);
+  return router_.Choose(now, known_replicas, tried, caller_class, idempotent);
 }
 
 void LoadControl::OnAttemptStart(RequestLoad* load, Replica* replica) {
   if (!load->started) {
     load->started = true;
     PoolNamed(replica->pool)->load.AddPending(load->caller_class, -1);
-    retries_.OnFirstTry();
+    retry_budget_.OnFirstTry();
   }
   ++replica->own_in_progress;
   replica->own_urgent += load->caller_class == CallerClass::kUrgent ? 1 : 0;
@@ -181,10 +184,10 @@
                                AttemptEnd end,
                                DurationUs service) {
   if (replica != nullptr) {
-    const auto less = [](std::uint32_t* n) { *n -= *n > 0 ? 1 : 0; };
-    less(&replica->own_in_progress);
+    const auto decrement = [](std::uint32_t* n) { *n -= *n > 0 ? 1 : 0; };
+    decrement(&replica->own_in_progress);
     if (load->caller_class == CallerClass::kUrgent) {
-      less(&replica->own_urgent);
+      decrement(&replica->own_urgent);
     }
     if (end == AttemptEnd::kAnswered) {
       replica->health.OnSuccess();
@@ -199,10 +202,10 @@
     return;
   }
   StageEstimate& estimate = (*load->pipeline)[load->stage];
-  estimate.service =
-      estimate.service == 0
-          ? service
-          : estimate.service + (service - estimate.service) / kServiceWeight;
+  estimate.service = estimate.service == 0
+                         ? service
+                         : estimate.service + (service - estimate.service) /
+                                                  kServiceAverageDivisor;
   estimate.pool->load.OnAnswer(load->caller_class);
   estimate.pool->shares.OnAnswer();
   LeaveStage(load);
--- a/src/coordination/admission/load_control.h
+++ b/src/coordination/admission/load_control.h
@@ -1,6 +1,7 @@
-// What an entry decides under load, in one place: whom it takes, where a stage
-// is sent, what is tried again. It holds the decision modules and the counts
-// that they share; the entry tells it what happens to requests and attempts.
+// Makes an entry's load decisions: which requests are admitted, which replica
+// runs a stage, and whether a failed attempt is retried. It owns the decision
+// modules and the counts that they share; the entry reports the progress of
+// requests and attempts to it.
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_LOAD_CONTROL_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_LOAD_CONTROL_H_
 
@@ -23,14 +24,14 @@
 
 namespace acaciachute {
 
-// An admitted request's place in the counts. Kept with the request and given
-// back to `LoadControl` at each step.
+// The part of an admitted request in the load counts. Stored with the request
+// and passed to `LoadControl` at each step.
 struct RequestLoad {
   std::shared_ptr<PipelineEstimate> pipeline;
   CallerClass caller_class = CallerClass::kPatient;
   AccountIndex account = 0;
   std::size_t stage = 0;
-  bool started = false;  // The stage was sent at least once.
+  bool started = false;  // The current stage was sent at least once.
 };
 
 struct LoadDecision {
@@ -44,16 +45,17 @@
  public:
   LoadControl(NodeId entry, ReplicaTable* replicas, Random* random);
 
-  // After the replica table took the settings over.
+  // Call this after the replica table has applied the settings.
   void OnSettings(SettingsPtr settings);
-  // After a replica's report.
+  // Call this after a replica's load report.
   void OnReport(Replica* replica);
-  // After its state changed without one.
+  // Call this after a replica's state changed without a report.
   void Update(Replica* replica);
-  // Its connection broke; attempts there end on their own.
+  // The connection to the replica was lost. The attempts there are ended
+  // separately.
   void OnUnreachable(Replica* replica);
 
-  // Decides on a request, and counts it when it is taken.
+  // Decides whether a request is admitted; if so, counts it in `load`.
   LoadDecision Admit(TimeUs now,
                      std::string_view event_name,
                      const Event& event,
@@ -61,11 +63,12 @@
                      CallerClass caller_class,
                      DurationUs time_left,
                      RequestLoad* load);
-  // A request ended, in whatever way; harmless when it was never admitted.
+  // A request ended, for any reason. Has no effect if the request was not
+  // admitted.
   void OnRequestEnd(RequestLoad* load);
 
-  // Null when no replica outside `tried` takes work. `settings` are those that
-  // the request was admitted under.
+  // Returns null if no replica outside `tried` accepts work. `settings` are
+  // those that the request was admitted under.
   Replica* Choose(TimeUs now,
                   const SettingsPtr& settings,
                   std::string_view pool,
@@ -78,15 +81,17 @@
                     Replica* replica,
                     AttemptEnd end,
                     DurationUs service);
-  // Whether one more attempt may be made. One that never left cost nothing.
+  // Whether one more attempt may be made. An attempt that was never sent needs
+  // no retry token.
   bool TakeRetry(AttemptEnd end) {
-    return end == AttemptEnd::kUnsent || retries_.Take();
+    return end == AttemptEnd::kUnsent || retry_budget_.Take();
   }
 
  private:
   SharedPool* PoolNamed(std::string_view name);
   const std::shared_ptr<PipelineEstimate>& EstimateOf(std::string_view name,
                                                       const Event& event);
+  // Ends the current stage in the counts and moves on to the next one.
   void LeaveStage(RequestLoad* load);
 
   const NodeId entry_;
@@ -95,10 +100,11 @@
   AccountTable accounts_;
   Admission admission_;
   Router router_;
-  RetryBudget retries_;
-  ReturnSchedule returns_;
+  RetryBudget retry_budget_;
+  ReturnSchedule return_schedule_;
   absl::flat_hash_map<std::string, std::unique_ptr<SharedPool>> pools_;
-  absl::flat_hash_map<std::string, std::shared_ptr<PipelineEstimate>> events_;
+  absl::flat_hash_map<std::string, std::shared_ptr<PipelineEstimate>>
+      estimates_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/admission/pool_load.cc
+++ b/src/coordination/admission/pool_load.cc
@@ -5,19 +5,20 @@
 namespace acaciachute {
 namespace {
 
-// The newest answers' weight in the share of urgent work: at 40 answers a
-// second, the last second and a half.
-constexpr double kShareWeight = 1.0 / 64;
+// Weight of the newest answer in the moving average of the urgent share: at 40
+// answers per second, the average covers the last second and a half.
+constexpr double kUrgentShareWeight = 1.0 / 64;
 
-// Patient work keeps at least this share of the rate; it is what the sidecars'
-// queues grant it (one start in seventeen).
-constexpr double kPatientFloor = 1.0 / 17;
+// Minimum share of the rate that patient work gets: what the sidecars' queues
+// guarantee it (one start in seventeen).
+constexpr double kMinPatientShare = 1.0 / 17;
 
-// Own work below this says nothing about the share of others.
-constexpr std::int64_t kFewCalls = 4;
-// Largest factor from own to all entries' work; a few thin entries share a pool
-// today, and a pool is cut into subsets where there are more.
-constexpr double kMostPerOwn = 8;
+// With fewer own calls than this, the ratio of all work to own work is not
+// meaningful.
+constexpr std::int64_t kMinOwnCalls = 4;
+// Limit on the ratio of all entries' work to own work. Few entries share a pool
+// at present, and where there are more, each uses a subset of the pool.
+constexpr double kMaxWorkRatio = 8;
 
 }  // namespace
 
@@ -27,7 +28,7 @@
     replicas_ += sign * (it.slots > 0 ? 1 : 0);
     slots_ += sign * it.slots;
     known_slots_ += sign * it.known_slots;
-    rate_ += sign * it.rate;
+    scaled_rate_ += sign * it.rate;
     others_ += sign * it.others;
     others_urgent_ += sign * it.others_urgent;
     own_ += sign * it.own;
@@ -38,12 +39,13 @@
   if (replica->TakesWork()) {
     const LoadReport& load = replica->load;
     counted.slots = std::max<std::int64_t>(1, load.limit);
-    // A replica that has answered nothing yet counts as fast as the others; a
-    // pool of such is not known, and nobody is refused for it.
+    // A replica without a known service time counts as fast as the others. If
+    // no replica of the pool has one, the wait is unknown and no request is
+    // refused for it.
     if (load.service_us > 0) {
       counted.known_slots = counted.slots;
       counted.rate = static_cast<std::int64_t>(
-          static_cast<double>(counted.slots) * kScale * kSecond /
+          static_cast<double>(counted.slots) * kRateScale * kSecond /
           static_cast<double>(load.service_us));
     }
     counted.others = replica->OthersWork();
@@ -55,21 +57,21 @@
 }
 
 void PoolLoad::Clear() {
-  replicas_ = slots_ = known_slots_ = rate_ = others_ = others_urgent_ = own_ =
-      own_urgent_ = 0;
+  replicas_ = slots_ = known_slots_ = scaled_rate_ = others_ = others_urgent_ =
+      own_ = own_urgent_ = 0;
 }
 
 void PoolLoad::OnAnswer(CallerClass caller_class) {
   const double urgent = caller_class == CallerClass::kUrgent ? 1 : 0;
-  urgent_share_ += (urgent - urgent_share_) * kShareWeight;
+  urgent_share_ += (urgent - urgent_share_) * kUrgentShareWeight;
 }
 
-double PoolLoad::AllPerOwn() const {
-  if (own_ < kFewCalls) {
+double PoolLoad::WorkRatio() const {
+  if (own_ < kMinOwnCalls) {
     return 1;
   }
-  return std::min(kMostPerOwn, static_cast<double>(own_ + others_) /
-                                   static_cast<double>(own_));
+  return std::min(kMaxWorkRatio, static_cast<double>(own_ + others_) /
+                                     static_cast<double>(own_));
 }
 
 double PoolLoad::CallTime() const {
@@ -78,31 +80,34 @@
   }
   const double known_share =
       static_cast<double>(known_slots_) / static_cast<double>(slots_);
-  return kSecond * kScale * known_share / static_cast<double>(rate_);
+  return kSecond * kRateScale * known_share / static_cast<double>(scaled_rate_);
 }
 
 DurationUs PoolLoad::Wait(CallerClass caller_class) const {
   if (!known()) {
     return 0;
   }
-  const double per_own = AllPerOwn();
+  const double work_ratio = WorkRatio();
   const double urgent =
       static_cast<double>(own_urgent_ + others_urgent_) +
-      per_own * static_cast<double>(
-                    pending_[static_cast<std::size_t>(CallerClass::kUrgent)]);
-  const double all = static_cast<double>(own_ + others_) +
-                     per_own * static_cast<double>(pending_[0] + pending_[1]);
+      work_ratio *
+          static_cast<double>(
+              pending_[static_cast<std::size_t>(CallerClass::kUrgent)]);
+  const double all =
+      static_cast<double>(own_ + others_) +
+      work_ratio * static_cast<double>(pending_[0] + pending_[1]);
   const auto slots = static_cast<double>(slots_);
   if (caller_class == CallerClass::kUrgent) {
-    // When patient work fills the slots, the next one that ends is ours.
-    const double quantum =
+    // If all slots are in use, an urgent call gets the next slot that is
+    // released.
+    const double slot_wait =
         all >= slots ? CallTime() * static_cast<double>(replicas_) : 0;
     return static_cast<DurationUs>(
-        std::max(0.0, urgent + 1 - slots) * CallTime() + quantum);
+        std::max(0.0, urgent + 1 - slots) * CallTime() + slot_wait);
   }
-  const double left = std::max(kPatientFloor, 1 - urgent_share_);
+  const double patient_share = std::max(kMinPatientShare, 1 - urgent_share_);
   return static_cast<DurationUs>(std::max(0.0, all + 1 - slots) * CallTime() /
-                                 left);
+                                 patient_share);
 }
 
 DurationUs PoolLoad::MeanService() const {
--- a/src/coordination/admission/retry_budget.h
+++ b/src/coordination/admission/retry_budget.h
@@ -1,9 +1,9 @@
-// Bounds retries to a share of first tries.
+// Limits retries to a share of first attempts.
 //
-// Load pattern: an upstream fails or a pool is full, and each request is tried
-// again elsewhere. Without a budget the retries multiply the load that caused
-// them. A tenth is the share at which retries cannot more than slightly raise
-// the load, while single failures are still all retried.
+// When an upstream fails or a pool is full, each request is retried at another
+// replica. Without a limit, these retries multiply the load that caused the
+// failures. With a tenth, retries raise the load only slightly, while single
+// failures are still all retried.
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_RETRY_BUDGET_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_RETRY_BUDGET_H_
 
@@ -13,11 +13,15 @@
 
 class RetryBudget {
  public:
-  static constexpr double kShare = 0.1;
-  // Lets a quiet entry still retry a handful at once.
-  static constexpr double kMost = 20;
+  // Retry tokens earned per first attempt.
+  static constexpr double kTokensPerFirstTry = 0.1;
+  // Limit on the stored tokens; lets an entry with little traffic still retry a
+  // handful of requests at once.
+  static constexpr double kMaxTokens = 20;
 
-  void OnFirstTry() { tokens_ = std::min(kMost, tokens_ + kShare); }
+  void OnFirstTry() {
+    tokens_ = std::min(kMaxTokens, tokens_ + kTokensPerFirstTry);
+  }
   bool Take() {
     if (tokens_ < 1) {
       return false;
@@ -27,7 +31,7 @@
   }
 
  private:
-  double tokens_ = kMost;
+  double tokens_ = kMaxTokens;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/admission/return_schedule.h
+++ b/src/coordination/admission/return_schedule.h
@@ -1,9 +1,10 @@
-// When a refused caller is told to come back.
+// Computes the Retry-After of refused callers.
 //
-// Load pattern: a burst is refused. With one Retry-After for all, the refused
-// come back together and are a burst again. Each refusal takes the next free
-// place in a line that moves as fast as the pool serves, so the resends arrive
-// at a rate that can be served; behind `kMost` places are drawn at random.
+// If all callers refused in a burst got the same Retry-After, they would return
+// together as another burst. Each refusal reserves the next place in a schedule
+// that advances as fast as the pool serves requests, so that retries arrive at
+// a rate that can be served. Refusals that would be scheduled beyond
+// `kMaxRetryAfter` get a random time instead.
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_RETURN_SCHEDULE_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_RETURN_SCHEDULE_H_
 
@@ -18,29 +19,31 @@
  public:
   explicit ReturnSchedule(Random* random) : random_(random) {}
 
-  // A caller told to wait longer than this would not.
-  static constexpr DurationUs kMost = 30 * kSecond;
-  // Sooner the reports that the refusal was made on have not changed.
-  static constexpr DurationUs kLeast = kSecond;
+  // Limit on Retry-After; callers would not wait longer.
+  static constexpr DurationUs kMaxRetryAfter = 30 * kSecond;
+  // Minimum Retry-After. Sooner, the load reports that caused the refusal would
+  // still be the same.
+  static constexpr DurationUs kMinRetryAfter = kSecond;
 
-  // `wait` is how long the shortage lasts at least, `call_time` the time in
-  // which the pool serves one more request.
+  // Returns the Retry-After of a caller refused now. `wait` is the minimum
+  // duration of the shortage, `call_time` the time in which the pool serves one
+  // more request, in microseconds.
   DurationUs Next(TimeUs now, DurationUs wait, double call_time) {
-    const TimeUs earliest = now + std::max(kLeast, wait);
-    line_end_ =
-        std::max(line_end_, earliest) + static_cast<DurationUs>(call_time);
-    if (line_end_ - now <= kMost) {
-      return line_end_ - now;
+    const TimeUs earliest = now + std::max(kMinRetryAfter, wait);
+    last_return_at_ = std::max(last_return_at_, earliest) +
+                      static_cast<DurationUs>(call_time);
+    if (last_return_at_ - now <= kMaxRetryAfter) {
+      return last_return_at_ - now;
     }
-    line_end_ = now + kMost;
-    const DurationUs least = earliest - now;
-    return least + static_cast<DurationUs>(
-                       random_->Below(std::max<DurationUs>(1, kMost - least)));
+    last_return_at_ = now + kMaxRetryAfter;
+    const DurationUs min_wait = earliest - now;
+    return min_wait + static_cast<DurationUs>(random_->Below(
+                          std::max<DurationUs>(1, kMaxRetryAfter - min_wait)));
   }
 
  private:
   Random* const random_;
-  TimeUs line_end_ = 0;
+  TimeUs last_return_at_ = 0;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/admission/service_times.cc
+++ b/src/coordination/admission/service_times.cc
@@ -5,29 +5,32 @@
 namespace acaciachute {
 namespace {
 
-// A step of a sixteenth up or down per answer finds the median of any
-// distribution without keeping answers (Ma, Muthukrishnan and Sandler, "Frugal
-// streaming", 2013) and follows a doubling within some twelve.
-constexpr int kMedianStep = 16;
-
-void AddTo(DurationUs* mean, DurationUs value) {
-  *mean = *mean == 0 ? value : *mean + (value - *mean) / ServiceTimes::kWeight;
+// Each answer moves the median estimate up or down by a sixteenth of its value.
+// This finds the median of any distribution without storing answers (Ma,
+// Muthukrishnan and Sandler, "Frugal streaming", 2013) and follows a doubling
+// within about twelve answers.
+constexpr int kMedianStepDivisor = 16;
+
+void AddToAverage(DurationUs* mean, DurationUs value) {
+  *mean = *mean == 0 ? value
+                     : *mean + (value - *mean) / ServiceTimes::kAverageDivisor;
 }
 
 }  // namespace
 
 void ServiceTimes::OnAnswer(const StageCall& call, DurationUs service) {
-  AddTo(&mean_, service);
+  AddToAverage(&mean_, service);
   if (median_ == 0) {
     median_ = service;
   } else {
-    const DurationUs step = std::max<DurationUs>(1, median_ / kMedianStep);
+    const DurationUs step =
+        std::max<DurationUs>(1, median_ / kMedianStepDivisor);
     median_ += service > median_ ? step : service < median_ ? -step : 0;
   }
   const auto it = by_path_.find(call.path);
   if (it != by_path_.end()) {
-    AddTo(&it->second, service);
-  } else if (by_path_.size() < kMostPaths) {
+    AddToAverage(&it->second, service);
+  } else if (by_path_.size() < kMaxPaths) {
     by_path_[call.path] = service;
   }
 }
--- a/src/coordination/admission/service_times.h
+++ b/src/coordination/admission/service_times.h
@@ -1,9 +1,10 @@
-// What a call is expected to take at this upstream.
+// Estimates the service time of a call at this upstream.
 //
-// Load pattern: calls of several kinds share one upstream, a few of them much
-// longer than the rest. Without an estimate by kind, work that cannot end in
-// time is started, and long jobs cannot be told from short ones. Calls are told
-// apart by their path; an entry's own estimate, where it has one, goes first.
+// Calls of several kinds share one upstream, and a few take much longer than
+// the others. Without an estimate per kind, calls that cannot end in time would
+// be started, and long jobs could not be distinguished from short ones. The
+// kind of a call is its path. If the entry sent its own estimate with the call,
+// that one is used.
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_SERVICE_TIMES_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_SERVICE_TIMES_H_
 
@@ -17,17 +18,20 @@
 
 class ServiceTimes {
  public:
-  // Weight of the newest answer in a mean: a change shows after some ten.
-  static constexpr int kWeight = 8;
-  // Paths kept. An upstream serves one or a few; a caller that invents more
-  // gets the mean of all.
-  static constexpr std::size_t kMostPaths = 64;
-  // A job is long from this many times the median: below, holding it back
-  // would cost more than its slot.
+  // The newest answer has a weight of 1/kAverageDivisor in an average, so a
+  // change shows after about ten answers.
+  static constexpr int kAverageDivisor = 8;
+  // Limit on the number of paths with an average of their own. An upstream
+  // serves one or a few paths; if a caller uses more, the further ones get the
+  // average over all calls.
+  static constexpr std::size_t kMaxPaths = 64;
+  // A call is long if its expected service time exceeds this many medians. For
+  // shorter calls, holding them back would cost more than the slot that they
+  // occupy.
   static constexpr int kLongFactor = 4;
 
   void OnAnswer(const StageCall& call, DurationUs service);
-  // Zero when nothing is known yet.
+  // Zero if no service time is known yet.
   DurationUs Expected(const StageCall& call) const;
   bool IsLong(const StageCall& call) const;
   DurationUs Mean() const { return mean_; }
--- a/src/coordination/choice/cold_limit.cc
+++ b/src/coordination/choice/cold_limit.cc
@@ -35,24 +35,25 @@
   return it == services_.end() ? nullptr : &it->second;
 }
 
-// A replica in a failure domain that was taken back may have started again
-// while it was empty, and its row may not say so yet.
+// A replica whose failure domain was put back into use may have restarted while
+// the domain was evacuated, and its row may not show that yet.
 TimeUs ColdLimit::ColdUntil(const ReplicaEntry& replica,
                             const Limits& limits) const {
   TimeUs until = replica.cold_until;
   if (replica.back_at > 0) {
     until = std::max(until, replica.back_at + limits.cold_start +
-                                kNewsBeats * replica_beat_);
+                                kStaleRowHeartbeats * replica_beat_);
   }
   return until;
 }
 
 bool ColdLimit::IsBounded(TimeUs now, const ReplicaEntry& replica) const {
   if (replica.cold_until == 0 && replica.back_at == 0) {
-    return false;  // Most are: a choice asks this of every replica.
+    return false;  // Fast path: called for every replica.
   }
   const Limits* limits = LimitsOf(replica);
-  return limits != nullptr && now < ColdUntil(replica, *limits) + kWarmUp;
+  return limits != nullptr &&
+         now < ColdUntil(replica, *limits) + kWarmUpDuration;
 }
 
 bool ColdLimit::Takes(TimeUs now, const ReplicaEntry& replica) {
@@ -60,70 +61,73 @@
     return true;
   }
   const Limits& limits = *LimitsOf(replica);
-  Recent& recent = recent_[replica.id];
-  recent.Forget(now);
-  double total = kSpend * limits.bound;
-  for (TimeUs step = ColdUntil(replica, limits); step <= now; step += kDouble) {
+  RecentRequests& recent_requests = recent_requests_[replica.id];
+  recent_requests.DropExpired(now);
+  double total = kUsableShare * limits.bound;
+  for (TimeUs doubling_at = ColdUntil(replica, limits); doubling_at <= now;
+       doubling_at += kLimitDoublingPeriod) {
     total *= 2;
   }
-  return recent.on_their_way + recent.arrived.size() <
-         PartOf(replica.id, &recent, total);
+  return recent_requests.in_transit + recent_requests.arrival_times.size() <
+         ShareOf(replica.id, &recent_requests, total);
 }
 
-std::size_t ColdLimit::PartOf(const ReplicaId& replica,
-                              Recent* recent,
-                              double total) {
-  const auto whole = static_cast<std::size_t>(total);
+std::size_t ColdLimit::ShareOf(const ReplicaId& replica,
+                               RecentRequests* recent_requests,
+                               double total) {
+  const auto whole_requests = static_cast<std::size_t>(total);
   if (gateways_.empty()) {
     return 0;
   }
-  if (gateways_.size() <= whole) {
-    return whole / gateways_.size();
+  if (gateways_.size() <= whole_requests) {
+    return whole_requests / gateways_.size();
   }
-  if (recent->generation != generation_) {
-    recent->generation = generation_;
-    recent->rank = RankFor(replica);
+  if (recent_requests->generation != generation_) {
+    recent_requests->generation = generation_;
+    recent_requests->rank = RankFor(replica);
   }
-  return recent->rank < whole ? 1 : 0;
+  return recent_requests->rank < whole_requests ? 1 : 0;
 }
 
 std::size_t ColdLimit::RankFor(const ReplicaId& replica) const {
-  const double own = RendezvousWeight(replica.name, self_, 1);
-  const auto before =
+  const double own_weight = RendezvousWeight(replica.name, self_, 1);
+  const auto ranked_before =
       std::count_if(gateways_.begin(), gateways_.end(), [&](const NodeId& it) {
-        return RendezvousWeight(replica.name, it, 1) > own;
+        return RendezvousWeight(replica.name, it, 1) > own_weight;
       });
-  return static_cast<std::size_t>(before);
+  return static_cast<std::size_t>(ranked_before);
 }
 
 void ColdLimit::OnSent(const ReplicaEntry& replica) {
   if (LimitsOf(replica) != nullptr) {
-    ++recent_[replica.id].on_their_way;
+    ++recent_requests_[replica.id].in_transit;
   }
 }
 
-// What was sent while the replica was warm counts too: it may turn cold within
-// the same second.
+// Requests sent while the replica was warm count too, because it may become
+// cold within the same second.
 void ColdLimit::OnArrived(TimeUs now, const ReplicaEntry& replica) {
-  const auto it = recent_.find(replica.id);
-  if (it == recent_.end()) {
+  const auto it = recent_requests_.find(replica.id);
+  if (it == recent_requests_.end()) {
     return;
   }
-  Recent& recent = it->second;
-  recent.on_their_way -= std::min(recent.on_their_way, 1U);
-  recent.arrived.push_back(now);
-  recent.Forget(now);
+  RecentRequests& recent_requests = it->second;
+  recent_requests.in_transit -= std::min(recent_requests.in_transit, 1U);
+  recent_requests.arrival_times.push_back(now);
+  recent_requests.DropExpired(now);
 }
 
-void ColdLimit::Recent::Forget(TimeUs now) {
-  while (!arrived.empty() && now - arrived.front() > kWindow) {
-    arrived.pop_front();
+void ColdLimit::RecentRequests::DropExpired(TimeUs now) {
+  while (!arrival_times.empty() &&
+         now - arrival_times.front() > kArrivalWindow) {
+    arrival_times.pop_front();
   }
 }
 
 void ColdLimit::OnNotSent(const ReplicaEntry& replica) {
-  if (const auto it = recent_.find(replica.id); it != recent_.end()) {
-    it->second.on_their_way -= std::min(it->second.on_their_way, 1U);
+  if (const auto it = recent_requests_.find(replica.id);
+      it != recent_requests_.end()) {
+    it->second.in_transit -= std::min(it->second.in_transit, 1U);
   }
 }
 
--- a/src/coordination/choice/cold_limit.h
+++ b/src/coordination/choice/cold_limit.h
@@ -1,24 +1,26 @@
-// Bounds what a replica gets in a second while it is cold, over all gateways
-// together.
+// Limits the rate of requests to a cold replica, summed over all gateways.
 //
-// Failure: a replica starts, or a failure domain is taken back, and is idle
-// while all others are busy. Symptom: every gateway sends it the next request,
-// and it crashes under a rate that it stands when it is warm. The bound is
-// divided among the gateways without messages, in whole requests: all have an
-// equal part, or, where there are more gateways than requests, those with the
-// highest hash of (replica, gateway) have one each. A request takes its part
-// from when it is sent until a second after the replica's first answer, or
-// after its end, so that those of one gateway never arrive closer together than
-// counted, however long each was on its way.
+// A replica that has just started, or whose failure domain was just put back
+// into use, is idle while all others are busy, so every gateway would send it
+// the next request, and it would crash under a rate that it handles when warm.
+// The limit is divided among the gateways without messages, in whole requests:
+// all gateways have an equal part or, if there are more gateways than requests,
+// those with the highest hash of (replica, gateway) have one each. A request
+// occupies its part from when it is sent until one second after the replica's
+// first response to it, or after its end. The requests of one gateway therefore
+// never arrive closer together than the limit allows, however long each was in
+// transit.
 //
-// Views differ: gateways come, go, and are cut off from one another. One counts
-// for an hour after it was last heard, so that two halves of a cut do not each
-// take the whole; a fifth of the bound is left for those that came a moment
-// ago; and one that has just joined sends nothing to cold replicas until the
-// others have heard of it.
+// The gateways' views of one another differ, because gateways join, leave and
+// are partitioned from each other. A gateway is counted for an hour after its
+// last message, so that the two sides of a partition do not each use the
+// complete limit. A fifth of the limit is reserved for gateways that joined a
+// moment ago. A gateway that has just joined sends nothing to cold replicas
+// until the others know of it.
 //
-// Afterwards the bound doubles by steps until it is lifted (slow start), so
-// that the last request held back and the first at full rate do not meet.
+// After the cold period the limit doubles in steps until it is lifted (slow
+// start), so that the last delayed requests and the first ones at full rate do
+// not arrive together.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_LIMIT_H_
 #define ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_LIMIT_H_
 
@@ -37,58 +39,72 @@
 
 class ColdLimit {
  public:
-  // The bound counts arrivals in any span of this length.
-  static constexpr DurationUs kWindow = kSecond;
-  // Of the bound; the rest is for gateways that others do not know yet.
-  static constexpr double kSpend = 0.8;
-  static constexpr DurationUs kWarmUp = kSecond;
-  static constexpr DurationUs kDouble = 250 * kMillisecond;
-  // Beats of a replica until its row tells that it is cold: one that was just
-  // written, and one for its way here.
-  static constexpr DurationUs kNewsBeats = 2;
+  // The limit applies to the arrivals in any interval of this length.
+  static constexpr DurationUs kArrivalWindow = kSecond;
+  // Share of the limit that the known gateways use; the remainder is for
+  // gateways that others do not know yet.
+  static constexpr double kUsableShare = 0.8;
+  // After the cold period the limit doubles every `kLimitDoublingPeriod` and is
+  // lifted after `kWarmUpDuration`.
+  static constexpr DurationUs kWarmUpDuration = kSecond;
+  static constexpr DurationUs kLimitDoublingPeriod = 250 * kMillisecond;
+  // Heartbeats of a replica until its row in the store shows that it is cold:
+  // the row may just have been rewritten (one heartbeat), and the next version
+  // needs time to arrive here (one more).
+  static constexpr DurationUs kStaleRowHeartbeats = 2;
 
   explicit ColdLimit(NodeId self) : self_(std::move(self)) {}
 
   void SetBound(const ColdBound& bound, DurationUs replica_beat);
   void SetServices(const ServingConfig& config);
-  // All gateways that may send requests, this one included; empty: it does not
-  // know the others well enough to send any.
+  // All gateways that may send requests, including this one. Empty if this
+  // gateway does not know the others well enough to send any to cold replicas.
   void SetGateways(std::vector<NodeId> gateways);
 
-  // Whether the replica takes only so much now: it is cold by what is known, or
-  // was a moment ago.
+  // Whether the rate of the replica is limited now, because it is cold, as far
+  // as known here, or still warming up.
   bool IsBounded(TimeUs now, const ReplicaEntry& replica) const;
+  // Whether one more request may be sent to the replica now.
   bool Takes(TimeUs now, const ReplicaEntry& replica);
 
+  // A request was sent to the replica.
   void OnSent(const ReplicaEntry& replica);
-  // The replica has it: it answered, or nothing of it is on its way any more.
+  // The request arrived: the replica responded, or the call ended and nothing
+  // of the request is in transit any more.
   void OnArrived(TimeUs now, const ReplicaEntry& replica);
-  // No byte of it left.
+  // No byte of the request was sent.
   void OnNotSent(const ReplicaEntry& replica);
-  void OnReplicaGone(const ReplicaId& replica) { recent_.erase(replica); }
+  void OnReplicaGone(const ReplicaId& replica) {
+    recent_requests_.erase(replica);
+  }
 
  private:
   struct Limits {
-    double bound = 0;  // Requests in a window.
+    // Maximum number of requests per `kArrivalWindow`.
+    double bound = 0;
     DurationUs cold_start = 0;
   };
-  // What was sent to one replica.
-  struct Recent {
-    // What arrived before the last window.
-    void Forget(TimeUs now);
+  // Requests sent to one replica.
+  struct RecentRequests {
+    // Drops the arrivals before the last window.
+    void DropExpired(TimeUs now);
 
-    std::uint32_t on_their_way = 0;
-    std::deque<TimeUs> arrived;  // Within the last window.
-    // How many gateways come before this one, among those of `generation`.
+    std::uint32_t in_transit = 0;
+    // Times of the arrivals within the last window.
+    std::deque<TimeUs> arrival_times;
+    // Number of gateways with a higher hash for the replica, computed for the
+    // gateway list numbered `generation`.
     std::size_t rank = 0;
     std::uint64_t generation = 0;
   };
 
-  // Null when the service's replicas stand as much cold as warm.
+  // Null if the service has no limit for cold replicas.
   const Limits* LimitsOf(const ReplicaEntry& replica) const;
   TimeUs ColdUntil(const ReplicaEntry& replica, const Limits& limits) const;
-  // Of `total` requests in a window, this gateway's.
-  std::size_t PartOf(const ReplicaId& replica, Recent* recent, double total);
+  // This gateway's part of `total` requests per window.
+  std::size_t ShareOf(const ReplicaId& replica,
+                      RecentRequests* recent_requests,
+                      double total);
   std::size_t RankFor(const ReplicaId& replica) const;
 
   const NodeId self_;
@@ -96,8 +112,8 @@
   DurationUs replica_beat_ = 0;
   absl::flat_hash_map<std::string, Limits> services_;
   std::vector<NodeId> gateways_;
-  std::uint64_t generation_ = 1;  // Of `gateways_`.
-  absl::flat_hash_map<ReplicaId, Recent> recent_;
+  std::uint64_t generation_ = 1;  // Increases when `gateways_` changes.
+  absl::flat_hash_map<ReplicaId, RecentRequests> recent_requests_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/choice/engine_choice.cc
+++ b/src/coordination/choice/engine_choice.cc
@@ -7,8 +7,9 @@
 namespace acaciachute {
 namespace {
 
-// The last part of a prompt is the request's own; those before are shared.
-std::size_t SharedParts(const std::vector<PromptPart>& prompt) {
+// Number of prompt parts shared with other requests: all but the last one,
+// which is the request's own.
+std::size_t SharedPartCount(const std::vector<PromptPart>& prompt) {
   return prompt.empty() ? 0 : prompt.size() - 1;
 }
 
@@ -19,30 +20,34 @@
                            Random* random)
     : directory_(directory), cold_(cold), random_(random) {}
 
-// All after the first part that it does not hold, and those that no part lists.
-EngineChoice::Unheld EngineChoice::UnheldAt(const Engine& engine,
-                                            const EngineRequest& request,
-                                            bool home) {
-  Unheld unheld;
+// Counts the first part that the engine does not cache and all parts after it,
+// plus the prompt tokens that no part lists.
+EngineChoice::UncachedTokens EngineChoice::UncachedTokensAt(
+    const Engine& engine,
+    const EngineRequest& request,
+    bool home) {
+  UncachedTokens uncached;
   std::uint64_t listed = 0;
-  bool reads = false;
-  const std::size_t shared = SharedParts(*request.prompt);
+  bool must_read = false;
+  const std::size_t shared = SharedPartCount(*request.prompt);
   for (std::size_t n = 0; n < request.prompt->size(); ++n) {
     const PromptPart& part = (*request.prompt)[n];
     listed += part.tokens;
-    reads = reads || (!(home && n < shared) && !engine.parts.contains(part.id));
-    if (reads) {
-      (n < shared ? unheld.shared : unheld.own) += part.tokens;
+    must_read = must_read || (!(home && n < shared) &&
+                              !engine.cached_parts.contains(part.id));
+    if (must_read) {
+      (n < shared ? uncached.shared : uncached.own) += part.tokens;
     }
   }
-  unheld.own += request.prompt_tokens - std::min(listed, request.prompt_tokens);
-  return unheld;
+  uncached.own +=
+      request.prompt_tokens - std::min(listed, request.prompt_tokens);
+  return uncached;
 }
 
 EngineChoice::Homes EngineChoice::HomesOf(const std::string& service,
                                           const EngineRequest& request) const {
   Homes homes;
-  const std::size_t shared = SharedParts(*request.prompt);
+  const std::size_t shared = SharedPartCount(*request.prompt);
   if (shared == 0) {
     return homes;
   }
@@ -74,8 +79,8 @@
       sum.unread_tokens += it->second.unread_tokens;
     }
   };
-  add(own_);
-  add(others_sum_);
+  add(own_loads_);
+  add(peer_load_sum_);
   return sum;
 }
 
@@ -84,19 +89,20 @@
                            const EngineRequest& request,
                            const Homes& homes) const {
   const EngineLoad load = LoadOf(replica.id);
-  const Unheld unheld = UnheldAt(engine, request, &replica == homes.first);
-  const double reread =
+  const UncachedTokens uncached =
+      UncachedTokensAt(engine, request, &replica == homes.first);
+  const double reread_weight =
       kRereadWeight * (&replica == homes.second ? kSecondHomeShare : 1);
-  double tokens = static_cast<double>(load.unread_tokens + unheld.own) +
-                  reread * static_cast<double>(unheld.shared) +
-                  kRunningTokens * load.running;
+  double tokens = static_cast<double>(load.unread_tokens + uncached.own) +
+                  reread_weight * static_cast<double>(uncached.shared) +
+                  kTokensPerRunningRequest * load.running;
   if (load.running >= replica.slots) {
-    tokens += kQueuedTokens;
+    tokens += kQueueingCostTokens;
   }
   if (!request.near_domain.empty() && request.near_domain != replica.domain) {
     constexpr double kMegabyte = 1e6;
-    tokens += kFarTokensPerMb * static_cast<double>(request.fetched_bytes) /
-              kMegabyte;
+    tokens += kCrossDomainTokensPerMb *
+              static_cast<double>(request.fetched_bytes) / kMegabyte;
   }
   return (tokens + 1) * engine.health.Penalty();
 }
@@ -127,7 +133,9 @@
       best_score = score;
       ties = 1;
     } else if (score == best_score && random_->Below(++ties) == 0) {
-      best = it;  // At random, or all entries choose the same engine.
+      // Random, so that gateways with equal scores do not all choose the same
+      // engine.
+      best = it;
     }
   }
   return best != nullptr ? best : shunned;
@@ -135,29 +143,29 @@
 
 void EngineChoice::OnSent(const ReplicaId& replica,
                           const EngineRequest& request) {
-  EngineLoad& load = own_[replica];
+  EngineLoad& load = own_loads_[replica];
   ++load.running;
   load.unread_tokens += request.prompt_tokens;
 }
 
 void EngineChoice::OnFirstEvent(const ReplicaId& replica,
                                 const EngineRequest& request) {
-  EngineLoad& load = own_[replica];
+  EngineLoad& load = own_loads_[replica];
   load.unread_tokens -= std::min(load.unread_tokens, request.prompt_tokens);
-  auto& parts = engines_[replica].parts;
-  if (parts.size() > kPartsRemembered) {
-    parts.clear();
+  auto& cached_parts = engines_[replica].cached_parts;
+  if (cached_parts.size() > kMaxPartsPerEngine) {
+    cached_parts.clear();
   }
   for (const PromptPart& it : *request.prompt) {
-    parts.insert(it.id);
+    cached_parts.insert(it.id);
   }
 }
 
 void EngineChoice::OnEnded(const ReplicaId& replica,
                            const EngineRequest& request,
                            bool read) {
-  const auto it = own_.find(replica);
-  if (it == own_.end()) {
+  const auto it = own_loads_.find(replica);
+  if (it == own_loads_.end()) {
     return;
   }
   EngineLoad& load = it->second;
@@ -166,7 +174,7 @@
     load.unread_tokens -= std::min(load.unread_tokens, request.prompt_tokens);
   }
   if (load.running == 0) {
-    own_.erase(it);
+    own_loads_.erase(it);
   }
 }
 
@@ -184,18 +192,18 @@
 
 void EngineChoice::SetOthers(const NodeId& from,
                              const std::map<ReplicaId, EngineLoad>& loads) {
-  auto& told = others_[from];
-  for (const auto& [replica, load] : told) {
-    EngineLoad& sum = others_sum_[replica];
+  auto& reported = peer_loads_[from];
+  for (const auto& [replica, load] : reported) {
+    EngineLoad& sum = peer_load_sum_[replica];
     sum.running -= load.running;
     sum.unread_tokens -= load.unread_tokens;
     if (sum.running == 0 && sum.unread_tokens == 0) {
-      others_sum_.erase(replica);
+      peer_load_sum_.erase(replica);
     }
   }
-  told = loads;
-  for (const auto& [replica, load] : told) {
-    EngineLoad& sum = others_sum_[replica];
+  reported = loads;
+  for (const auto& [replica, load] : reported) {
+    EngineLoad& sum = peer_load_sum_[replica];
     sum.running += load.running;
     sum.unread_tokens += load.unread_tokens;
   }
--- a/src/coordination/choice/engine_choice.h
+++ b/src/coordination/choice/engine_choice.h
@@ -1,17 +1,20 @@
-// Chooses the model replica that reads a prompt and generates.
+// Chooses the engine (model replica) for a request: the one expected to produce
+// the first token earliest.
 //
-// Load pattern: long prompts beside short ones, sessions that come back with
-// the same first parts, and engines whose every running request slows the
-// tokens of all others. Sent to a random engine, a session's parts are read
-// again each time, and two long prompts that meet delay the first token of both
-// by their sum. A prompt's home is the engine with the highest hash of its
-// shared parts and the engine (rendezvous hashing), the same at every entry; it
-// is taken to hold them. Each engine is scored by what it reads until this
-// request's first token, in prompt tokens, which needs no engine's speed: those
-// that are still unread there, those of this prompt that it does not hold, what
-// the running requests add, and what it fetches from elsewhere. What an engine
-// holds is believed from what was sent there and ended well; engines report
-// their load late and at a price, so nobody asks them.
+// Long and short prompts are mixed, sessions return with the same first prompt
+// parts, and every running request on an engine slows down the tokens of all
+// others. With a random choice, a session's parts would be read again each
+// time, and two long prompts on one engine would delay the first token of both
+// by their sum. The home of a prompt is the engine with the highest hash of the
+// prompt's shared parts and the engine (rendezvous hashing); it is the same on
+// every gateway and is assumed to cache these parts. Each engine is scored by
+// the work until this request's first token, in prompt tokens, so that no
+// engine's speed has to be known: the tokens still unread there, the tokens of
+// this prompt that it does not cache, the cost of the running requests, and the
+// cost of fetching results from other failure domains. The contents of an
+// engine's cache are inferred from the requests that were sent there and
+// completed; engines are not asked, because their load reports are late and are
+// charged for.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_ENGINE_CHOICE_H_
 #define ACACIACHUTE_SRC_COORDINATION_CHOICE_ENGINE_CHOICE_H_
 
@@ -31,7 +34,8 @@
 
 namespace acaciachute {
 
-// What an engine has in progress, from this entry or as another tells it.
+// Load of an engine caused by one gateway: this one, or another one that
+// reported it.
 struct EngineLoad {
   std::uint32_t running = 0;
   std::uint64_t unread_tokens = 0;  // Of prompts without a first token yet.
@@ -40,55 +44,58 @@
 struct EngineRequest {
   const std::vector<PromptPart>* prompt = nullptr;
   std::uint64_t prompt_tokens = 0;
-  // Failure domain of most of the results that the engine has to fetch, and
-  // their bytes.
+  // Failure domain that holds most of the results that the engine has to fetch,
+  // and their size.
   std::string near_domain;
   std::uint64_t fetched_bytes = 0;
 };
 
 class EngineChoice {
  public:
-  // Weight of tokens of shared parts that the engine would read again: beside
-  // their time, which others wait for too, they push out what it holds.
+  // Weight of tokens of shared parts that the engine would have to read again.
+  // Besides the reading time, which other requests wait for too, they evict
+  // other parts from the engine's cache.
   static constexpr double kRereadWeight = 10;
-  // Load pattern: a burst, or the loss of engines, keeps homes busy, and
-  // prompts go elsewhere. Among many gateways each sees few of a session's
-  // requests and remembers nothing of where the others went, so each of them
-  // would be read again on another engine. The engine with the second highest
-  // hash is preferred among the others by this share of what reading the shared
-  // parts weighs there; it is as likely to hold them as the session is to have
-  // been sent away before.
+  // Factor on `kRereadWeight` for the second home of a prompt, the engine with
+  // the second highest hash. While homes are busy in a burst or after the loss
+  // of engines, prompts go to other engines. With many gateways, each sees few
+  // of a session's requests and does not know where the others went, so without
+  // a common second choice each request would be read again on another engine.
+  // The factor is below one because the second home probably caches the parts
+  // already if the session was sent away from its home before.
   static constexpr double kSecondHomeShare = 0.8;
-  // What one more running request adds until the first token: it lengthens each
-  // step, and a prompt waits for the step in progress.
-  static constexpr double kRunningTokens = 94;
-  // A request that finds all slots taken waits for about a third of a stream.
-  static constexpr double kQueuedTokens = 157'000;
-  // Fetching a megabyte of results from another failure domain.
-  static constexpr double kFarTokensPerMb = 2000;
-  // Parts remembered an engine: several times what an engine's memory holds.
-  static constexpr std::size_t kPartsRemembered = 4096;
+  // Cost of each running request until the first token: it lengthens every
+  // step, and a new prompt waits for the step in progress.
+  static constexpr double kTokensPerRunningRequest = 94;
+  // Cost of waiting when all slots are in use: about a third of the duration of
+  // a stream.
+  static constexpr double kQueueingCostTokens = 157'000;
+  // Cost of fetching one megabyte of results from another failure domain.
+  static constexpr double kCrossDomainTokensPerMb = 2000;
+  // Limit on the prompt parts remembered per engine; several times what an
+  // engine's memory holds.
+  static constexpr std::size_t kMaxPartsPerEngine = 4096;
 
   EngineChoice(const ReplicaDirectory* directory,
                ColdLimit* cold,
                Random* random);
 
-  // Null when no engine outside `tried` takes work.
+  // Returns null if no engine outside `tried` accepts work.
   const ReplicaEntry* Choose(TimeUs now,
                              const std::string& service,
                              const EngineRequest& request,
                              const std::vector<ReplicaId>& tried,
                              bool may_repeat);
 
-  // The home of a prompt; null when it has no shared part.
+  // The home of a prompt; null if the prompt has no shared part.
   const ReplicaEntry* HomeOf(const std::string& service,
                              const EngineRequest& request) const {
     return HomesOf(service, request).first;
   }
   void OnSent(const ReplicaId& replica, const EngineRequest& request);
-  // The first event came: the prompt is read.
+  // The first event arrived, so the engine has read the prompt.
   void OnFirstEvent(const ReplicaId& replica, const EngineRequest& request);
-  // After either; `read` tells whether `OnFirstEvent` came before.
+  // The request ended; `read` says whether `OnFirstEvent` was called for it.
   void OnEnded(const ReplicaId& replica,
                const EngineRequest& request,
                bool read);
@@ -96,31 +103,37 @@
   void OnFailure(TimeUs now, const ReplicaId& replica);
   void OnReplicaGone(const ReplicaId& replica);
 
-  // Work of other entries at an engine; replaces what `from` told before.
+  // Sets the load that the gateway `from` causes at the engines, replacing its
+  // previous report.
   void SetOthers(const NodeId& from,
                  const std::map<ReplicaId, EngineLoad>& loads);
-  const std::map<ReplicaId, EngineLoad>& own() const { return own_; }
+  // Load of this gateway's own requests by engine.
+  const std::map<ReplicaId, EngineLoad>& own() const { return own_loads_; }
 
  private:
   struct Engine {
-    absl::flat_hash_set<std::string> parts;  // Of prompts, by id.
+    // Ids of the prompt parts assumed to be cached.
+    absl::flat_hash_set<std::string> cached_parts;
     ReplicaHealth health;
   };
 
+  // The engines with the highest and second highest hash for a prompt.
   struct Homes {
     const ReplicaEntry* first = nullptr;
     const ReplicaEntry* second = nullptr;
   };
   Homes HomesOf(const std::string& service, const EngineRequest& request) const;
 
-  struct Unheld {
-    std::uint64_t shared = 0;  // Tokens of parts that others use too.
+  // Prompt tokens that an engine does not cache.
+  struct UncachedTokens {
+    std::uint64_t shared = 0;  // In parts that other requests use too.
+    // In the request's own part, or in no listed part.
     std::uint64_t own = 0;
   };
-  // What the engine would have to read of the prompt.
-  static Unheld UnheldAt(const Engine& engine,
-                         const EngineRequest& request,
-                         bool home);
+  // Tokens of the prompt that the engine would have to read.
+  static UncachedTokens UncachedTokensAt(const Engine& engine,
+                                         const EngineRequest& request,
+                                         bool home);
   double Score(const ReplicaEntry& replica,
                const Engine& engine,
                const EngineRequest& request,
@@ -131,10 +144,11 @@
   ColdLimit* const cold_;
   Random* const random_;
   absl::flat_hash_map<ReplicaId, Engine> engines_;
-  std::map<ReplicaId, EngineLoad> own_;
-  std::map<NodeId, std::map<ReplicaId, EngineLoad>> others_;
-  // Over all others, so that a choice does not go over all gateways.
-  absl::flat_hash_map<ReplicaId, EngineLoad> others_sum_;
+  std::map<ReplicaId, EngineLoad> own_loads_;
+  std::map<NodeId, std::map<ReplicaId, EngineLoad>> peer_loads_;
+  // Sum over all other gateways, kept so that a choice need not iterate over
+  // them.
+  absl::flat_hash_map<ReplicaId, EngineLoad> peer_load_sum_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/choice/plain_choice.cc
+++ b/src/coordination/choice/plain_choice.cc
@@ -14,24 +14,27 @@
                           const ReplicaEntry& replica,
                           const std::string& domain) {
   State& state = states_[replica.id];
-  const double fade = std::exp(-static_cast<double>(now - state.measured_at) /
-                               static_cast<double>(kForget));
-  double time = typical_ + (state.answer_time - typical_) * fade;
-  if (!state.sent.empty()) {
-    time = std::max(time, static_cast<double>(now - *state.sent.begin()));
+  const double age_weight =
+      std::exp(-static_cast<double>(now - state.measured_at) /
+               static_cast<double>(kObservationDecayTime));
+  double time = typical_answer_time_ +
+                (state.answer_time - typical_answer_time_) * age_weight;
+  if (!state.sent_times.empty()) {
+    time = std::max(time, static_cast<double>(now - *state.sent_times.begin()));
   }
   if (now < replica.cold_until) {
-    constexpr double kCold = 1.5;
-    time *= kCold;
+    constexpr double kColdSlowdown = 1.5;
+    time *= kColdSlowdown;
   }
-  // Two links to another failure domain and back.
-  constexpr double kFar = 2.5 * kMillisecond;
+  // Network time to another failure domain and back.
+  constexpr double kCrossDomainTime = 2.5 * kMillisecond;
   if (replica.domain != domain) {
-    time += kFar;
+    time += kCrossDomainTime;
   }
   const double slots = std::max(1U, replica.slots);
-  const double ahead = static_cast<double>(state.sent.size()) / slots;
-  return time * (1 + ahead) * state.health.Penalty();
+  const double load_per_slot =
+      static_cast<double>(state.sent_times.size()) / slots;
+  return time * (1 + load_per_slot) * state.health.Penalty();
 }
 
 const ReplicaEntry* PlainChoice::Choose(TimeUs now,
@@ -56,7 +59,8 @@
       health.OnProbe(now);
       return it;
     }
-    // Up to a tenth at random, so that entries do not move in step.
+    // Random increase of up to a tenth, so that gateways do not all switch to
+    // the same replica at once.
     const double jitter =
         1 + 0.1 * static_cast<double>(random_->Below(100)) / 100;
     const double score = Score(now, *it, domain) * jitter;
@@ -69,7 +73,7 @@
 }
 
 void PlainChoice::OnSent(TimeUs now, const ReplicaId& replica) {
-  states_[replica].sent.insert(now);
+  states_[replica].sent_times.insert(now);
 }
 
 void PlainChoice::OnAnswer(TimeUs now,
@@ -77,12 +81,15 @@
                            TimeUs sent_at) {
   State& state = states_[replica];
   const auto time = static_cast<double>(now - sent_at);
-  state.answer_time += kNewest * (time - state.answer_time);
+  state.answer_time += kNewestAnswerWeight * (time - state.answer_time);
   state.measured_at = now;
   state.health.OnSuccess();
-  // Slow replicas barely move it: each answer counts at most double.
-  constexpr double kTypicalWeight = 0.05;
-  typical_ += kTypicalWeight * (std::min(time, 2 * typical_) - typical_);
+  // An answer counts as at most twice the typical time, so that slow replicas
+  // hardly change it.
+  constexpr double kTypicalAnswerWeight = 0.05;
+  typical_answer_time_ +=
+      kTypicalAnswerWeight *
+      (std::min(time, 2 * typical_answer_time_) - typical_answer_time_);
 }
 
 void PlainChoice::OnFailure(TimeUs now, const ReplicaId& replica) {
@@ -90,9 +97,9 @@
 }
 
 void PlainChoice::OnEnded(const ReplicaId& replica, TimeUs sent_at) {
-  auto& sent = states_[replica].sent;
-  if (const auto it = sent.find(sent_at); it != sent.end()) {
-    sent.erase(it);
+  auto& sent_times = states_[replica].sent_times;
+  if (const auto it = sent_times.find(sent_at); it != sent_times.end()) {
+    sent_times.erase(it);
   }
 }
 
--- a/src/coordination/choice/plain_choice.h
+++ b/src/coordination/choice/plain_choice.h
@@ -1,12 +1,13 @@
-// Chooses the replica of a plain service: the one that would answer first.
+// Chooses the replica of a plain service: the one expected to answer first.
 //
-// Load pattern: short calls under a tight goal, from several gateways, to
-// replicas in several failure domains, some of which turn slow, fail part of
-// their calls or fall silent while their health check is good. Each replica is
-// scored by its recent answer times, by the age of its oldest call in progress
-// (a silent replica has no answer times), by its calls in progress, and by its
-// failures. Old observations fade, so that a replica that is well again draws
-// calls without health checks, which are priced.
+// Calls are short, have a tight latency target and come from several gateways.
+// Replicas are spread over several failure domains; some become slow, fail part
+// of their calls or stop responding while their health check still passes. Each
+// replica is scored by its recent answer times, by the age of its oldest call
+// in progress (an unresponsive replica has no answer times), by the number of
+// its calls in progress, and by its failures. Old observations lose weight, so
+// that a replica that has recovered gets calls again without health checks,
+// which are charged for.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_PLAIN_CHOICE_H_
 #define ACACIACHUTE_SRC_COORDINATION_CHOICE_PLAIN_CHOICE_H_
 
@@ -26,39 +27,43 @@
 
 class PlainChoice {
  public:
-  // Weight of the newest answer time. Three slow answers outweigh any history.
-  static constexpr double kNewest = 0.4;
-  // After this an observation counts by 1/e: a tenth of a slow replica's calls
-  // are spent on finding out whether it is well again.
-  static constexpr DurationUs kForget = 3 * kSecond;
-  // Before the first answer.
-  static constexpr DurationUs kUnknown = 20 * kMillisecond;
+  // Weight of the newest answer in the moving average of answer times. Three
+  // slow answers outweigh any history.
+  static constexpr double kNewestAnswerWeight = 0.4;
+  // After this time an observation's weight has fallen to 1/e. A tenth of the
+  // calls that a slow replica would normally get are then spent on detecting
+  // its recovery.
+  static constexpr DurationUs kObservationDecayTime = 3 * kSecond;
+  // Assumed answer time of a replica that has not answered yet.
+  static constexpr DurationUs kInitialAnswerTime = 20 * kMillisecond;
 
   PlainChoice(const ReplicaDirectory* directory,
               ColdLimit* cold,
               Random* random);
 
-  // Null when no replica outside `tried` takes work.
+  // Returns null if no replica outside `tried` accepts work.
   const ReplicaEntry* Choose(TimeUs now,
                              const std::string& service,
                              const std::string& domain,
                              const std::vector<ReplicaId>& tried,
                              bool may_repeat);
   void OnSent(TimeUs now, const ReplicaId& replica);
-  // What came of a call; `OnEnded` follows either, and stands alone for a call
-  // that its client gave up or that the replica refused.
+  // Result of a call. `OnEnded` follows either of the two; it is called alone
+  // for a call that its client gave up or that the replica refused.
   void OnAnswer(TimeUs now, const ReplicaId& replica, TimeUs sent_at);
   void OnFailure(TimeUs now, const ReplicaId& replica);
   void OnEnded(const ReplicaId& replica, TimeUs sent_at);
   void OnReplicaGone(const ReplicaId& replica);
-  // The recent answer time over all replicas; grounds for hedging.
-  DurationUs Typical() const { return static_cast<DurationUs>(typical_); }
+  // Typical recent answer time over all replicas; a basis for hedging.
+  DurationUs Typical() const {
+    return static_cast<DurationUs>(typical_answer_time_);
+  }
 
  private:
   struct State {
-    double answer_time = static_cast<double>(kUnknown);
+    double answer_time = static_cast<double>(kInitialAnswerTime);
     TimeUs measured_at = 0;
-    std::multiset<TimeUs> sent;  // Calls in progress.
+    std::multiset<TimeUs> sent_times;  // Start times of the calls in progress.
     ReplicaHealth health;
   };
 
@@ -70,7 +75,7 @@
   ColdLimit* const cold_;
   Random* const random_;
   std::map<ReplicaId, State> states_;
-  double typical_ = static_cast<double>(kUnknown);
+  double typical_answer_time_ = static_cast<double>(kInitialAnswerTime);
 };
 
 }  // namespace acaciachute
--- a/src/coordination/choice/rendezvous.h
+++ b/src/coordination/choice/rendezvous.h
@@ -1,6 +1,6 @@
-// Weighted rendezvous hashing (Thaler and Ravishankar 1998): whoever knows the
-// same nodes names the same one for a key, and a node that comes or goes moves
-// only its own keys.
+// Weighted rendezvous hashing (Thaler and Ravishankar 1998): all processes that
+// know the same nodes assign a key to the same node, and a node that joins or
+// leaves only moves its own keys.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_RENDEZVOUS_H_
 #define ACACIACHUTE_SRC_COORDINATION_CHOICE_RENDEZVOUS_H_
 
@@ -14,8 +14,8 @@
 
 namespace acaciachute {
 
-// The node with the highest weight has the key; its share of all keys goes with
-// `share`.
+// A key belongs to the node with the highest weight. The expected number of a
+// node's keys is proportional to `share`.
 inline double RendezvousWeight(std::string_view key,
                                std::string_view node,
                                double share) {
--- a/src/coordination/choice/router.cc
+++ b/src/coordination/choice/router.cc
@@ -5,18 +5,21 @@
 namespace acaciachute {
 namespace {
 
-// Expected time until the replica would answer one more call. Urgent calls
-// start before waiting patient ones, so these count for them only as the
-// company in a batch.
+// Expected time until the replica would complete one more call. Urgent calls
+// start before waiting patient ones, so patient calls count for them only by
+// slowing down the batch.
 double Score(const Replica& replica, CallerClass caller_class) {
-  constexpr double kCompany = 0.1;  // Measured at the stand-in engine's batch.
+  // Delay caused by a call in the same batch, relative to a call ahead in the
+  // queue.
+  constexpr double kBatchDelayShare = 0.1;
   const double slots = std::max(1U, replica.load.limit);
-  const double all = replica.Work();
-  const double ahead = caller_class == CallerClass::kUrgent
-                           ? replica.Urgent() + kCompany * all
-                           : all;
+  const double total_calls = replica.Work();
+  const double calls_ahead =
+      caller_class == CallerClass::kUrgent
+          ? replica.Urgent() + kBatchDelayShare * total_calls
+          : total_calls;
   const double service = std::max(1U, replica.load.service_us);
-  return service * (1 + ahead / slots) * replica.health.Penalty();
+  return service * (1 + calls_ahead / slots) * replica.health.Penalty();
 }
 
 }  // namespace
@@ -26,12 +29,12 @@
                         const std::vector<NodeId>& tried,
                         CallerClass caller_class,
                         bool idempotent) {
-  open_.clear();
+  candidates_.clear();
   shunned_.clear();
   for (Replica* it : pool) {
-    const bool again =
+    const bool already_tried =
         std::find(tried.begin(), tried.end(), it->address.node) != tried.end();
-    if (again || !it->TakesWork() || !it->health.reachable()) {
+    if (already_tried || !it->TakesWork() || !it->health.reachable()) {
       continue;
     }
     if (!it->health.Takes(now, idempotent)) {
@@ -42,20 +45,23 @@
       it->health.OnProbe(now);
       return it;
     }
-    open_.push_back(it);
+    candidates_.push_back(it);
   }
-  if (open_.empty() && tried.empty()) {
-    open_.swap(shunned_);
+  if (candidates_.empty() && tried.empty()) {
+    candidates_.swap(shunned_);
   }
   Replica* best = nullptr;
   double best_score = 0;
-  const std::size_t samples = std::min<std::size_t>(kSamples, open_.size());
+  const std::size_t samples =
+      std::min<std::size_t>(kSamplesPerChoice, candidates_.size());
   for (std::size_t n = 0; n < samples; ++n) {
-    // Without repeats: each sample is moved behind those already drawn.
-    std::swap(open_[n], open_[n + random_->Below(open_.size() - n)]);
-    const double score = Score(*open_[n], caller_class);
+    // Sampling without replacement: each sample is moved behind those already
+    // drawn.
+    std::swap(candidates_[n],
+              candidates_[n + random_->Below(candidates_.size() - n)]);
+    const double score = Score(*candidates_[n], caller_class);
     if (best == nullptr || score < best_score) {
-      best = open_[n];
+      best = candidates_[n];
       best_score = score;
     }
   }
--- a/src/coordination/choice/router.h
+++ b/src/coordination/choice/router.h
@@ -1,11 +1,13 @@
 // Chooses the replica for one attempt of one stage.
 //
-// Load pattern: replicas differ in load and speed, one is four times slower,
-// and their reports are late. Round robin sends a ninth of the work to the slow
-// one and every request there is late; the one that looked best last draws the
-// load of all entries at once. The best of a few random samples by the time
-// until it would answer avoids both (Mitzenmacher 2001; Prequal, Wydrowski and
-// others 2024, samples by latency and calls in flight).
+// Replicas differ in load and speed, one may be four times slower than the
+// others, and their load reports are late. Round robin would send a ninth of
+// the work to the slow one of nine, where every request is late; always
+// choosing the replica that looked best in the last report would direct the
+// load of all entries to it at once. Choosing the best of a few random samples,
+// by the time until the replica would complete the call, avoids both
+// (Mitzenmacher 2001; Prequal, Wydrowski and others 2024, which samples by
+// latency and calls in flight).
 #ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_ROUTER_H_
 #define ACACIACHUTE_SRC_COORDINATION_CHOICE_ROUTER_H_
 
@@ -19,18 +21,18 @@
 
 class Router {
  public:
-  // Samples a choice.
-  static constexpr int kSamples = 3;
+  // Replicas that are compared per choice.
+  static constexpr int kSamplesPerChoice = 3;
 
   explicit Router(Random* random) : random_(random) {}
 
-  // Null when no replica outside `tried` takes work. Only an idempotent call
-  // may be spent on finding out whether a shunned replica is well again.
+  // Returns null if no replica outside `tried` accepts work. Only an idempotent
+  // call may be used to probe whether a shunned replica has recovered.
   //
-  // Failure: every replica of a pool, or its only one, is shunned. Symptom:
-  // callers are refused although the pool may be well again. Shunning chooses
-  // between replicas; with nothing to choose from, the shunned ones get first
-  // tries.
+  // Shunning only expresses a preference between replicas. If every replica of
+  // a pool is shunned, or its only one, a request that has not been tried yet
+  // goes to a shunned one, because refusing callers would be wrong if the pool
+  // has recovered.
   Replica* Choose(TimeUs now,
                   const std::vector<Replica*>& pool,
                   const std::vector<NodeId>& tried,
@@ -39,8 +41,8 @@
 
  private:
   Random* const random_;
-  // Kept between calls for their memory.
-  std::vector<Replica*> open_;
+  // Members only to reuse their memory between calls.
+  std::vector<Replica*> candidates_;
   std::vector<Replica*> shunned_;
 };
 
--- a/src/coordination/choice/subset.cc
+++ b/src/coordination/choice/subset.cc
@@ -31,10 +31,10 @@
         [](const Scored& a, const Scored& b) { return a.first > b.first; });
   }
   std::vector<Replica*> chosen;
-  for (std::size_t turn = 0; chosen.size() < size; ++turn) {
+  for (std::size_t rank = 0; chosen.size() < size; ++rank) {
     for (const auto& [unused, scored] : by_domain) {
-      if (turn < scored.size() && chosen.size() < size) {
-        chosen.push_back(scored[turn].second);
+      if (rank < scored.size() && chosen.size() < size) {
+        chosen.push_back(scored[rank].second);
       }
     }
   }
--- a/src/coordination/choice/subset.h
+++ b/src/coordination/choice/subset.h
@@ -1,13 +1,13 @@
-// Which replicas of a pool an entry uses.
+// Selects the replicas of a pool that one entry uses.
 //
-// Load pattern: 380 entries before 1,500 replicas. If each entry used them all,
-// its own work in progress at each would be a fraction of a call and say
-// nothing, and a choice would look at 1,500 counts. Each entry takes the
+// With 380 entries and 1,500 replicas, an entry that used all replicas would
+// have a fraction of a call in progress at each, which says nothing about their
+// load, and each choice would have to check 1,500 counts. Each entry uses the
 // replicas with the highest hash of (entry, replica) (rendezvous hashing,
-// Thaler and Ravishankar 1998): entries agree on nothing and still spread
-// evenly, and a replica that comes or goes changes the subsets by itself only.
-// Failure domains take turns, so that the loss of one leaves every entry the
-// others.
+// Thaler and Ravishankar 1998). Entries need no agreement and still spread
+// evenly, and a replica that joins or leaves changes the subsets only by
+// itself. Replicas are taken from the failure domains in turn, so that an entry
+// that loses one domain still has replicas in the others.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_SUBSET_H_
 #define ACACIACHUTE_SRC_COORDINATION_CHOICE_SUBSET_H_
 
@@ -19,9 +19,10 @@
 
 namespace acaciachute {
 
-// Larger than the pools of today, which are used whole. At the target's size a
-// replica then serves about eight entries (380 x 32 / 1,500), and one domain of
-// eight lost takes four of an entry's replicas.
+// Number of replicas per subset. Pools up to this size are used completely.
+// With 380 entries and 1,500 replicas, a replica serves about eight entries
+// (380 x 32 / 1,500), and the loss of one of eight domains takes four of an
+// entry's replicas.
 inline constexpr std::size_t kSubsetSize = 32;
 
 std::vector<Replica*> SubsetOf(const std::vector<Replica*>& pool,
--- a/tests/class_queue_test.cc
+++ b/tests/class_queue_test.cc
@@ -96,8 +96,8 @@
   });
 }
 
-// Patient work waits behind at most `kUrgentInRow` urgent calls, and an urgent
-// call behind at most one patient one, whatever comes.
+// Patient work waits behind at most `kMaxUrgentInRow` urgent calls, and an
+// urgent call behind at most one patient one, whatever comes.
 TEST(ClassQueueTest, NeitherClassStarves) {
   CheckProperty("no starvation", kSeed, kCases, [] {
     ClassQueue queue;
@@ -124,7 +124,7 @@
       (urgent ? urgent_waits : patient_waits) -= 1;
       urgent_in_row = both && urgent ? urgent_in_row + 1 : 0;
       patient_in_row = both && !urgent ? patient_in_row + 1 : 0;
-      RC_ASSERT(urgent_in_row <= ClassQueue::kUrgentInRow);
+      RC_ASSERT(urgent_in_row <= ClassQueue::kMaxUrgentInRow);
       RC_ASSERT(patient_in_row <= 1);
     }
   });
--- a/tests/gateway/cold_limit_test.cc
+++ b/tests/gateway/cold_limit_test.cc
@@ -122,8 +122,8 @@
   EXPECT_EQ(at(kSecond), 2);
   EXPECT_EQ(at(warm - 1), 2);
   EXPECT_EQ(at(warm), 4);
-  EXPECT_EQ(at(warm + ColdLimit::kDouble), 8);
-  EXPECT_EQ(at(warm + ColdLimit::kWarmUp), 1000);
+  EXPECT_EQ(at(warm + ColdLimit::kLimitDoublingPeriod), 8);
+  EXPECT_EQ(at(warm + ColdLimit::kWarmUpDuration), 1000);
 }
 
 TEST(ColdLimitTest, LeavesServicesWithoutABoundAlone) {
@@ -171,7 +171,7 @@
   }
   EXPECT_EQ(rig.sent.size(), 12U);
   EXPECT_TRUE(rig.refused.empty());
-  rig.Pass(ColdLimit::kWarmUp);
+  rig.Pass(ColdLimit::kWarmUpDuration);
   EXPECT_EQ(rig.sent.size(), 20U);
 }
 
--- a/tests/load_decisions_test.cc
+++ b/tests/load_decisions_test.cc
@@ -206,8 +206,8 @@
   std::map<DurationUs, int> by_second;
   for (int n = 0; n < 1000; ++n) {
     const DurationUs wait = returns.Next(0, 0, kCallTime);
-    EXPECT_GE(wait, ReturnSchedule::kLeast);
-    EXPECT_LE(wait, ReturnSchedule::kMost);
+    EXPECT_GE(wait, ReturnSchedule::kMinRetryAfter);
+    EXPECT_LE(wait, ReturnSchedule::kMaxRetryAfter);
     ++by_second[wait / kSecond];
   }
   for (const auto& [second, n] : by_second) {
@@ -258,7 +258,8 @@
     budget.OnFirstTry();
     taken += budget.Take() ? 1 : 0;
   }
-  EXPECT_LE(taken, 1000 * RetryBudget::kShare + RetryBudget::kMost);
+  EXPECT_LE(taken,
+            1000 * RetryBudget::kTokensPerFirstTry + RetryBudget::kMaxTokens);
   Random random(1);
   ReplicaTable replicas;
   LoadControl control("entry-1", &replicas, &random);
--- a/tests/load_properties_test.cc
+++ b/tests/load_properties_test.cc
@@ -34,7 +34,7 @@
       ++taken;
     }
   }
-  RC_ASSERT(taken <= FairShare::kCap * kWeights.size() + answers);
+  RC_ASSERT(taken <= FairShare::kMaxCredits * kWeights.size() + answers);
 }
 
 // An account that asks for no more than its share is never refused, however
@@ -72,7 +72,8 @@
     shares.Spend(account, kWeights[account], true);
   }
   const double most =
-      std::ceil((FairShare::kDebt + 1) * kAllWeights / kWeights[account]) + 1;
+      std::ceil((FairShare::kMaxDebt + 1) * kAllWeights / kWeights[account]) +
+      1;
   for (int n = 0; n < most; ++n) {
     for (std::size_t other = 0; other < kWeights.size(); ++other) {
       if (other != account && shares.HasCredit(other, kWeights[other])) {
