--- a/src/coordination/admission/concurrency_limit.h
+++ b/src/coordination/admission/concurrency_limit.h
@@ -38,8 +38,8 @@
   // between decreases is at least the median answer time, too.
   static constexpr DurationUs kMinDecreaseInterval = 100 * kMillisecond;
 
-  // Starts at `max_limit`, which the operator set; always stays within [1,
-  // max_limit].
+  // Starts at `max_limit`, which the operator set; never exceeds it or falls
+  // below one.
   explicit ConcurrencyLimit(std::uint32_t max_limit);
 
   // A call was answered completely after `service`; `in_progress` includes it.
--- a/src/coordination/admission/fair_share.h
+++ b/src/coordination/admission/fair_share.h
@@ -68,8 +68,8 @@
   Balances below_max_credits_;
   // Sum over the stored accounts.
   double total_weight_ = 0;
-  double granted_per_weight_ =
-      0;  // Credits granted so far to an account of weight one.
+  // Credits granted so far to an account of weight one.
+  double granted_per_weight_ = 0;
   std::size_t answers_until_sweep_ = 0;
 };
 
--- a/src/coordination/choice/plain_choice.cc
+++ b/src/coordination/choice/plain_choice.cc
@@ -26,7 +26,7 @@
     constexpr double kColdSlowdown = 1.5;
     time *= kColdSlowdown;
   }
-  // Network time to another failure domain and back.
+  // Time on the two network links to another failure domain and back.
   constexpr double kCrossDomainTime = 2.5 * kMillisecond;
   if (replica.domain != domain) {
     time += kCrossDomainTime;
--- a/tests/class_queue_test.cc
+++ b/tests/class_queue_test.cc
@@ -1,4 +1,5 @@
-// Whom an upstream serves next, and how much it is given at once.
+// Tests of the order in which a sidecar's upstream serves calls, and of the
+// limit on its concurrent calls.
 #include "coordination/admission/class_queue.h"
 
 #include <gtest/gtest.h>
@@ -17,14 +18,15 @@
 constexpr std::uint64_t kSeed = 20261202;
 constexpr int kCases = 300;
 
-WaitingCall Make(std::uint64_t n,
-                 CallerClass caller_class,
-                 TimeUs deadline,
-                 bool is_long = false) {
+WaitingCall MakeCall(std::uint64_t n,
+                     CallerClass caller_class,
+                     TimeUs deadline,
+                     bool is_long = false) {
   return {{{1, n}, 0, 1}, caller_class, deadline, is_long};
 }
 
-// Each step pushes a call, takes one, or removes one by its key.
+// The calls that a test pushes one by one, with random class, deadline and
+// length.
 std::vector<WaitingCall> RandomCalls() {
   const auto specs =
       *rc::gen::container<std::vector<std::tuple<bool, int, bool>>>(
@@ -33,9 +35,9 @@
   std::vector<WaitingCall> calls;
   calls.reserve(specs.size());
   for (const auto& [urgent, deadline, is_long] : specs) {
-    calls.push_back(Make(calls.size() + 1,
-                         urgent ? CallerClass::kUrgent : CallerClass::kPatient,
-                         deadline, is_long));
+    calls.push_back(MakeCall(
+        calls.size() + 1, urgent ? CallerClass::kUrgent : CallerClass::kPatient,
+        deadline, is_long));
   }
   return calls;
 }
@@ -43,7 +45,7 @@
 TEST(ClassQueueTest, EachCallLeavesOnce) {
   CheckProperty("conservation", kSeed, kCases, [] {
     ClassQueue queue;
-    std::multiset<std::uint64_t> left;
+    std::multiset<std::uint64_t> removed;
     std::uint64_t pushed = 0;
     for (const WaitingCall& call : RandomCalls()) {
       queue.Push(call);
@@ -51,19 +53,19 @@
       switch (*rc::gen::inRange(0, 4)) {
         case 0:
           if (const auto it = queue.Pop(*rc::gen::arbitrary<bool>())) {
-            left.insert(it->key.request.sequence);
+            removed.insert(it->key.request.sequence);
           }
           break;
         case 1:
           if (const auto it = queue.PopLastPatient()) {
-            left.insert(it->key.request.sequence);
+            removed.insert(it->key.request.sequence);
           }
           break;
         case 2: {
           const std::size_t before = queue.size();
           queue.Remove(call.key);
           if (queue.size() < before) {
-            left.insert(call.key.request.sequence);
+            removed.insert(call.key.request.sequence);
           }
           break;
         }
@@ -72,11 +74,11 @@
       }
     }
     while (const auto it = queue.Pop()) {
-      left.insert(it->key.request.sequence);
+      removed.insert(it->key.request.sequence);
     }
     RC_ASSERT(queue.size() == 0U);
-    RC_ASSERT(left.size() == pushed);
-    RC_ASSERT(std::set<std::uint64_t>(left.begin(), left.end()).size() ==
+    RC_ASSERT(removed.size() == pushed);
+    RC_ASSERT(std::set<std::uint64_t>(removed.begin(), removed.end()).size() ==
               pushed);
   });
 }
@@ -96,8 +98,9 @@
   });
 }
 
-// Patient work waits behind at most `kMaxUrgentInRow` urgent calls, and an
-// urgent call behind at most one patient one, whatever comes.
+// For any sequence of calls, patient calls wait behind at most
+// `kMaxUrgentInRow` urgent ones, and an urgent call waits behind at most one
+// patient call.
 TEST(ClassQueueTest, NeitherClassStarves) {
   CheckProperty("no starvation", kSeed, kCases, [] {
     ClassQueue queue;
@@ -108,11 +111,11 @@
     std::size_t patient_waits = 0;
     for (int step = 0; step < 200; ++step) {
       for (int n = *rc::gen::inRange(0, 3); n > 0; --n) {
-        queue.Push(Make(next++, CallerClass::kUrgent, step));
+        queue.Push(MakeCall(next++, CallerClass::kUrgent, step));
         ++urgent_waits;
       }
       if (*rc::gen::arbitrary<bool>()) {
-        queue.Push(Make(next++, CallerClass::kPatient, step));
+        queue.Push(MakeCall(next++, CallerClass::kPatient, step));
         ++patient_waits;
       }
       const bool both = urgent_waits > 0 && patient_waits > 0;
@@ -130,13 +133,13 @@
   });
 }
 
-// Sidecar as a whole: calls of any kind come, end, break and are cancelled, and
-// each one that was not cancelled ends with one answer or one failure.
+// Tests the complete sidecar: calls of any kind arrive, end, fail or expire,
+// and each ends with exactly one answer or one failure.
 TEST(ClassQueueTest, SidecarEndsEachCallOnce) {
   CheckProperty("sidecar conservation", kSeed, kCases, [] {
     SidecarRig rig(*rc::gen::inRange<std::uint32_t>(1, 5));
     std::set<std::size_t> open;
-    std::size_t seen = 0;
+    std::size_t seen_calls = 0;
     const int steps = *rc::gen::inRange(1, 120);
     for (int n = 1; n <= steps; ++n) {
       StageCall call =
@@ -147,8 +150,8 @@
       call.idempotent = *rc::gen::arbitrary<bool>();
       rig.Deliver(call);
       rig.Pass(*rc::gen::inRange(0, 50) * kMillisecond);
-      for (; seen < rig.ids.size(); ++seen) {
-        open.insert(seen);
+      for (; seen_calls < rig.ids.size(); ++seen_calls) {
+        open.insert(seen_calls);
       }
       if (!open.empty()) {
         const std::size_t it = *open.begin();
@@ -188,8 +191,8 @@
   });
 }
 
-// A burst of patient work fills the queue before an urgent call comes. The
-// urgent call is the next to start, and takes a place in a full queue.
+// A burst of patient calls fills the queue before an urgent call arrives. The
+// urgent call replaces a patient one in the full queue and starts next.
 TEST(ClassQueueTest, UrgentCallPassesABurst) {
   SidecarOptions options = SidecarRig::Options(1);
   options.max_queued = 50;
@@ -208,8 +211,8 @@
   EXPECT_EQ(rig.started[1].key, urgent.key);
 }
 
-// Work that cannot end in time is refused before it costs anything, and an idle
-// upstream takes it all the same: the estimate may be wrong.
+// A call that is expected not to end in time is refused before it costs
+// anything. An idle upstream accepts it, because the estimate may be wrong.
 TEST(ClassQueueTest, HopelessWorkIsRefusedUnlessIdle) {
   SidecarRig rig;
   rig.Deliver(rig.Call(1));
@@ -225,8 +228,8 @@
   EXPECT_EQ(rig.started.size(), 3);
 }
 
-// Long jobs come first and the short ones of drivers behind them. A slot stays
-// free of long jobs; without that all four are taken for seconds.
+// Long jobs arrive before short ones. One slot stays free of long jobs;
+// otherwise they would occupy all four slots for seconds.
 TEST(ClassQueueTest, LongJobsLeaveASlotForShortOnes) {
   SidecarRig rig(/*limit=*/4);
   std::uint64_t n = 1;
@@ -246,12 +249,13 @@
   EXPECT_EQ(rig.started.back().key.request.sequence, n);
 }
 
-// An engine whose answers slow down past eight at once. The limit finds a
-// number near it from above, instead of filling the engine's own queue.
+// An engine's answers become slower with more than eight concurrent calls. The
+// limit approaches that number from above, instead of filling the engine's own
+// queue.
 TEST(ConcurrencyLimitTest, SettlesNearTheEnginesBatch) {
   ConcurrencyLimit limit(64);
   TimeUs now = kSecond;
-  // The best is known from a quiet time.
+  // A period of low load establishes the best median.
   for (int n = 0; n < 50; ++n) {
     limit.OnAnswer(now += 50 * kMillisecond, 50 * kMillisecond, 1);
   }
@@ -274,8 +278,8 @@
   EXPECT_LE(highest, 20);
 }
 
-// The upstream's word is two seconds old and goes on telling of a queue that is
-// long gone. One decrease answers one queue.
+// The upstream's reports are two seconds old and keep reporting a queue that no
+// longer exists. Only one decrease is made for it.
 TEST(ConcurrencyLimitTest, LaggingReportIsActedOnOnce) {
   ConcurrencyLimit limit(20);
   LoadReport report;
@@ -287,9 +291,9 @@
   EXPECT_EQ(limit.Current(), 18);
 }
 
-// The work itself becomes slower for good. After a window that is the new best,
-// and the limit grows back.
-TEST(ConcurrencyLimitTest, LastingChangeBecomesTheMeasure) {
+// The calls themselves become permanently slower. After a window their time
+// becomes the new best median, and the limit grows back.
+TEST(ConcurrencyLimitTest, LastingChangeBecomesTheReference) {
   ConcurrencyLimit limit(16);
   TimeUs now = kSecond;
   std::uint32_t lowest = 16;
@@ -303,8 +307,8 @@
   EXPECT_EQ(limit.Current(), 16);
 }
 
-// One long answer in ten does not turn the short ones into long ones.
-TEST(ServiceTimesTest, LongIsToldByTheMedian) {
+// One long answer in ten does not change the classification of the short ones.
+TEST(ServiceTimesTest, LongIsDefinedByTheMedian) {
   ServiceTimes times;
   StageCall short_call;
   short_call.path = "/short";
--- a/tests/entry_admission_test.cc
+++ b/tests/entry_admission_test.cc
@@ -1,5 +1,5 @@
-// What an entry refuses before anything runs, each with its reason and a
-// verdict that is true.
+// Tests of requests that an entry refuses before anything runs, each with its
+// reason and a correct verdict.
 #include <gtest/gtest.h>
 
 #include "tests/core_driver.h"
@@ -7,7 +7,7 @@
 namespace acaciachute {
 namespace {
 
-CallerAnswer Told(CoreDriver& driver, const CallerRequest& request) {
+CallerAnswer AnswerOf(CoreDriver& driver, const CallerRequest& request) {
   const auto handle = driver.Ask(0, request);
   driver.Run(kSecond);
   const auto answers = driver.AnswersTo(handle);
@@ -23,17 +23,18 @@
   bad[0].second = Refusal::kUnknownEvent;
   bad[1].first.account = "stranger";
   bad[1].second = Refusal::kForbidden;
-  bad[2].first.deadline = 5001 * kMillisecond;  // Past the event's longest.
+  bad[2].first.deadline = 5001 * kMillisecond;  // Longer than the event allows.
   bad[2].second = Refusal::kMalformed;
-  bad[3].first.idempotent = false;  // Without a key.
+  bad[3].first.idempotent = false;  // A non-idempotent request needs a key.
   bad[3].second = Refusal::kMalformed;
   bad[4].first.deadline = 100 * kMillisecond;
-  bad[4].first.waited = 100 * kMillisecond;  // In the entry's own loop.
+  // Time spent in the entry's event loop.
+  bad[4].first.waited = 100 * kMillisecond;
   bad[4].second = Refusal::kLate;
   bad[5].first.service_pool = "no such pool";
   bad[5].second = Refusal::kUnknownEvent;
   for (const auto& [request, reason] : bad) {
-    const auto answer = Told(driver, request);
+    const auto answer = AnswerOf(driver, request);
     EXPECT_EQ(Name(answer.reason), Name(reason));
     EXPECT_EQ(answer.verdict, Verdict::kNotRun);
     EXPECT_FALSE(answer.request_id.empty());
@@ -41,8 +42,9 @@
   EXPECT_TRUE(driver.runs().empty());
 }
 
-// A plain service is called directly by an account that its pool names: one
-// stage, claimed, and the same key again gives the stored answer.
+// A pool of a plain service names the accounts that may call it directly. Such
+// a call has one stage and is claimed; a repeat with the same key gets the
+// stored answer.
 TEST(EntryAdmissionTest, ServiceCallIsClaimed) {
   CoreDriver driver({});
   std::string json = driver.settings()->FindBranch("platform")->json;
@@ -54,12 +56,12 @@
   request.event.clear();
   request.service_pool = "orders";
   request.service_path = "/charge";
-  const auto first = Told(driver, request);
+  const auto first = AnswerOf(driver, request);
   EXPECT_EQ(first.verdict, Verdict::kAnswered);
-  EXPECT_EQ(Told(driver, request).body, first.body);
+  EXPECT_EQ(AnswerOf(driver, request).body, first.body);
   EXPECT_EQ(driver.RunsOf("pay"), 1);
   request.account = "depot";
-  EXPECT_EQ(Name(Told(driver, request).reason), Name(Refusal::kForbidden));
+  EXPECT_EQ(Name(AnswerOf(driver, request).reason), Name(Refusal::kForbidden));
 }
 
 }  // namespace
--- a/tests/gateway/choices_test.cc
+++ b/tests/gateway/choices_test.cc
@@ -1,4 +1,5 @@
-// Where requests go: engines, plain replicas, the budget of repeats.
+// Tests of engine choice, plain replica choice, the service retry budget, the
+// event splitter and stage progress.
 #include <gtest/gtest.h>
 
 #include "coordination/choice/engine_choice.h"
@@ -36,8 +37,8 @@
   return {parts, tokens, "", 0};
 }
 
-// Load: one session comes back again and again, through entries that know
-// nothing of one another. All of them send it to the same engine.
+// Requests of one session arrive at different gateways that share no state. All
+// gateways choose the same engine.
 TEST(EngineChoiceTest, SendsASessionHome) {
   Fleet fleet(9);
   const std::vector<PromptPart> first = {
@@ -51,9 +52,8 @@
   EXPECT_EQ(a->id, b->id);
 }
 
-// Load: one session gets most of the traffic. Its home is not drowned: once the
-// prompts unread there cost more than reading the shared parts again, others
-// take part.
+// One session gets most of the traffic. Once the prompts unread at its home
+// cost more than reading the shared parts again, other engines serve it too.
 TEST(EngineChoiceTest, SpreadsAHotSession) {
   Fleet fleet(9);
   EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
@@ -68,10 +68,10 @@
   EXPECT_GE(used.size(), 3U);
 }
 
-// Load: a hundred gateways, and a session whose home is busy for a while. Each
-// gateway sees one of its requests and remembers none. They agree where it goes
-// meanwhile, so its shared parts are read once more, not a hundred times; that
-// engine in turn is not drowned.
+// The home of a session is busy, and each of a hundred gateways sees one of its
+// requests. They agree on the second home, so the shared parts are read again
+// by one engine, not by many. Once the second home is loaded too, other engines
+// are used.
 TEST(EngineChoiceTest, GatewaysAgreeOnASecondHome) {
   Fleet fleet(9);
   const std::vector<PromptPart> prompt = {
@@ -92,9 +92,9 @@
   EXPECT_NE(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id, second);
 }
 
-// Load: large results lie in one failure domain, and no engine holds the
-// prompt. The request goes where they lie, unless the engines there have more
-// to read than fetching them elsewhere is worth.
+// Large results are stored in one failure domain, and no engine caches the
+// prompt. The request goes to an engine in that domain, unless the unread
+// prompts there cost more than fetching the results from another domain.
 TEST(EngineChoiceTest, GoesWhereLargeResultsLie) {
   Fleet fleet(4);
   EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
@@ -107,7 +107,7 @@
   EXPECT_EQ(choice.Choose(0, "s", request, {}, false)->domain, "a");
 }
 
-// Work that other entries tell of counts like one's own.
+// Load reported by other gateways counts like this gateway's own.
 TEST(EngineChoiceTest, CountsTheWorkOfOthers) {
   Fleet fleet(2);
   EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
@@ -118,8 +118,8 @@
   EXPECT_EQ(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id, "r0");
 }
 
-// Load: one replica of four turns ten times as slow while its health is good.
-// It draws little more than what finds out whether it is well again.
+// One replica of four becomes ten times slower while its health check passes.
+// It gets little more than the calls that detect its recovery.
 TEST(PlainChoiceTest, AvoidsASlowReplica) {
   Fleet fleet(4);
   PlainChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
@@ -138,8 +138,8 @@
   EXPECT_LT(slow, 30);
 }
 
-// Load: a replica falls silent. It has no answer times, but the age of its
-// oldest call keeps others away.
+// A replica stops responding, so it has no answer times. The age of its oldest
+// call in progress keeps other calls away from it.
 TEST(PlainChoiceTest, AvoidsASilentReplica) {
   Fleet fleet(2);
   PlainChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
@@ -150,9 +150,9 @@
   }
 }
 
-// Load: every call fails. Entries together stay below the allowance in any
-// window, however many of them there are.
-TEST(AttemptBudgetTest, KeepsTheSumOverEntries) {
+// Every call fails. The retries of all gateways together stay within the
+// allowance, for any number of gateways.
+TEST(ServiceRetryBudgetTest, KeepsTheSumOverEntries) {
   constexpr int kEntries = 5;
   const AttemptBudgetLimits limits = {0.2, 56, 10 * kSecond};
   std::vector<AttemptBudget> budgets(kEntries);
@@ -183,8 +183,9 @@
   EXPECT_EQ(splitter.last_event_id(), 8U);
 }
 
-// Load: a large result beside a chain of three stages. It is made when the last
-// of the chain is, and does not fill its maker's memory before.
+// A stage with a large result runs beside a chain of three stages. It is
+// started together with the last stage of the chain, so that its result does
+// not occupy memory earlier.
 TEST(StageProgressTest, PutsAStageOffThatIsNeededLate) {
   const std::vector<StageSpec> stages = {{"big", {}, 800000},
                                          {"a", {}, 8000},
@@ -204,7 +205,8 @@
   EXPECT_EQ(progress.FinalResults(), (std::vector<std::string>{"big", "z"}));
 }
 
-// Results may be let go by their only user; a stage without pieces is none.
+// A stage that is the only user of a result may release it. A stage without
+// pieces does not count as a user.
 TEST(StageProgressTest, KnowsTheOnlyUserOfAResult) {
   const std::vector<StageSpec> stages = {
       {"a", {}, 1}, {"b", {0}, 1}, {"c", {0}, 1}, {"d", {1}, 1}};
--- a/tests/gateway/cold_limit_test.cc
+++ b/tests/gateway/cold_limit_test.cc
@@ -1,4 +1,5 @@
-// What cold replicas get, by one gateway and by many that see different things.
+// Tests of the request rate of cold replicas, for one gateway and for many with
+// different views.
 #include "coordination/choice/cold_limit.h"
 
 #include <gtest/gtest.h>
@@ -14,15 +15,15 @@
 namespace acaciachute {
 namespace {
 
-constexpr double kRate = 21;
-constexpr int kBound = 36;  // 21 x 1.5 + 5, whole.
+constexpr double kColdRate = 21;
+constexpr int kBound = 36;  // 21 x 1.5 + 5, rounded down.
 
 ServingConfig ConfigWithColdEngines() {
   ServingConfig config;
   Service service;
   service.name = "engine";
   service.cold_start = 3 * kSecond;
-  service.cold_rate = kRate;
+  service.cold_rate = kColdRate;
   config.AddService(service);
   return config;
 }
@@ -53,6 +54,8 @@
   return names;
 }
 
+// Sends as many requests as the limiter allows, at most 1,000; returns their
+// number.
 int SendAll(TimeUs now, ColdLimit* limit, const ReplicaEntry& replica) {
   int sent = 0;
   while (limit->Takes(now, replica) && sent < 1000) {
@@ -62,10 +65,10 @@
   return sent;
 }
 
-// Load: fleets of 1 to 400 gateways find one replica cold and idle and send it
-// all that they may at once. Together they stay within the bound and use a good
-// part of it.
-TEST(ColdLimitTest, FleetsOfAnySizeKeepTheBoundInSum) {
+// Between 1 and 400 gateways find one replica cold and idle, and each sends as
+// many requests as it may at once. The sum stays within the limit and uses at
+// least half of it.
+TEST(ColdReplicaLimiterTest, FleetsOfAnySizeKeepTheBoundInSum) {
   const ReplicaEntry replica = ColdReplica(10 * kSecond);
   for (const int n : {1, 5, 14, 26, 29, 103, 400}) {
     int sum = 0;
@@ -77,9 +80,10 @@
   }
 }
 
-// A request that waited for its connection arrives later than it was sent. The
-// next one may leave a second after the first was answered, not after it left.
-TEST(ColdLimitTest, CountsByArrival) {
+// A request may arrive much later than it was sent, for example because it
+// waited for a connection. The next one may be sent one second after the first
+// was answered, not one second after it was sent.
+TEST(ColdReplicaLimiterTest, CountsByArrival) {
   const ReplicaEntry replica = ColdReplica(60 * kSecond);
   const auto limit = LimitOf("g0", Names(26));
   TimeUs now = kSecond;
@@ -94,8 +98,8 @@
   EXPECT_TRUE(limit->Takes(now + kSecond + 1, replica));
 }
 
-// Requests of the last second count when the replica turns cold within it.
-TEST(ColdLimitTest, CountsWhatCameWhileItWasWarm) {
+// Requests of the last second count if the replica becomes cold within it.
+TEST(ColdReplicaLimiterTest, CountsWhatCameWhileItWasWarm) {
   ReplicaEntry replica = ColdReplica(0);
   const auto limit = LimitOf("g0", Names(26));
   EXPECT_EQ(SendAll(kSecond, limit.get(), replica), 1000);
@@ -103,16 +107,18 @@
   EXPECT_FALSE(limit->Takes(kSecond + 1, replica));
 }
 
-// A gateway that does not know the others yet leaves cold replicas to them.
-TEST(ColdLimitTest, WhoKnowsNoGatewaysSendsNothing) {
+// A gateway that does not know the other gateways yet sends nothing to cold
+// replicas.
+TEST(ColdReplicaLimiterTest, WhoKnowsNoGatewaysSendsNothing) {
   const auto limit = LimitOf("g0", {});
   EXPECT_FALSE(limit->Takes(kSecond, ColdReplica(9 * kSecond)));
   EXPECT_TRUE(limit->Takes(kSecond, ColdReplica(0)));
 }
 
-// A failure domain is taken back. Its replicas are taken for cold although
-// their rows, older than that, say nothing; then the bound doubles by steps.
-TEST(ColdLimitTest, ADomainThatIsTakenBackWarmsUp) {
+// The evacuation of a failure domain ends. Its replicas count as cold although
+// their rows, which are older, do not say so; afterwards the limit doubles in
+// steps.
+TEST(ColdReplicaLimiterTest, ADomainThatIsTakenBackWarmsUp) {
   ReplicaEntry replica = ColdReplica(0);
   replica.back_at = kSecond;
   const TimeUs warm = replica.back_at + 3 * kSecond + 2400 * kMillisecond;
@@ -126,20 +132,21 @@
   EXPECT_EQ(at(warm + ColdLimit::kWarmUpDuration), 1000);
 }
 
-TEST(ColdLimitTest, LeavesServicesWithoutABoundAlone) {
+TEST(ColdReplicaLimiterTest, LeavesServicesWithoutABoundAlone) {
   ReplicaEntry replica = ColdReplica(10 * kSecond);
   replica.service = "app";
   const auto limit = LimitOf("g0", Names(26));
   EXPECT_EQ(SendAll(kSecond, limit.get(), replica), 1000);
 }
 
-// Load: all engines are cold and more requests come than they take. The first
-// are sent, the others wait for their turn and are sent in order; one that gets
-// none in time is refused and told when to come back.
-TEST(ColdLimitTest, RequestsWaitForTheirTurn) {
+// All engines are cold, and more requests arrive than they accept. The first
+// ones are sent, the others wait and are sent in order. A request that is not
+// sent in time is refused with a Retry-After.
+TEST(ColdReplicaLimiterTest, RequestsWaitForTheirTurn) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine", "a", rig.now + 60 * kSecond);
-  // Two a second, half more and five: eight, six of them used.
+  // The limit is 2 x 1.5 + 5 = 8 requests per second, of which the share of 0.8
+  // is used: 6.
   for (int n = 0; n < 20; ++n) {
     rig.Call("stream");
   }
@@ -161,9 +168,9 @@
   }
 }
 
-// The only engine warms up, and more requests come than it takes yet. They wait
-// for their turn, as while it was cold.
-TEST(ColdLimitTest, RequestsWaitWhileItWarmsUpToo) {
+// The only engine is warming up, and more requests arrive than it accepts yet.
+// They wait in order, as while the engine was cold.
+TEST(ColdReplicaLimiterTest, RequestsWaitWhileItWarmsUpToo) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine", "a", rig.now);
   for (int n = 0; n < 20; ++n) {
@@ -175,9 +182,10 @@
   EXPECT_EQ(rig.sent.size(), 20U);
 }
 
-// One replica that is cold again and again, and gateways that come, restart,
-// lose sight of each other and send as fast as they may, over links that take
-// up to 300 ms. No second sees more arrivals than the bound.
+// Model of one cold replica and a changing set of gateways. Gateways join,
+// restart, do not know each other, and send as fast as they may, over links
+// with up to 300 ms delay. In no interval of one second may more requests
+// arrive than the limit.
 class ColdFleet {
  public:
   void Add(TimeUs now) {
@@ -185,13 +193,14 @@
     Gateway& gateway = gateways_[name];
     gateway.limit = LimitOf(name, {});
     gateway.settled_at = now + kSecond;
-    // It reads the names of all and tells all of itself.
+    // The new gateway reads the names of all others, and they learn its name.
     for (auto& [other, it] : gateways_) {
       gateway.known.insert(other);
       it.known.insert(name);
     }
   }
-  // Its memory goes with its process; the store lists all.
+  // The state of the restarted gateway is lost; it reads the names of all
+  // gateways from the store.
   void Restart(TimeUs now, int n) {
     auto it =
         std::next(gateways_.begin(), n % static_cast<int>(gateways_.size()));
@@ -200,7 +209,7 @@
     for (const auto& [other, unused] : gateways_) {
       it->second.known.insert(other);
     }
-    // What it had on its way may still arrive.
+    // Requests that it had in transit may still arrive.
   }
   void Step(TimeUs now, const ReplicaEntry& replica, Random* random) {
     for (auto& [name, it] : gateways_) {
@@ -208,17 +217,18 @@
           now >= it.settled_at
               ? std::vector<NodeId>(it.known.begin(), it.known.end())
               : std::vector<NodeId>());
-      const auto wish = static_cast<int>(random->Below(4));
-      for (int n = 0; n < wish && it.limit->Takes(now, replica); ++n) {
+      const auto wanted_requests = static_cast<int>(random->Below(4));
+      for (int n = 0; n < wanted_requests && it.limit->Takes(now, replica);
+           ++n) {
         it.limit->OnSent(replica);
         const auto link = kMillisecond + static_cast<DurationUs>(
                                              random->Below(300 * kMillisecond));
-        on_way_.emplace(now + link, it.limit.get());
+        in_transit_.emplace(now + link, it.limit.get());
       }
     }
-    while (!on_way_.empty() && on_way_.begin()->first <= now) {
-      const auto [at, from] = *on_way_.begin();
-      on_way_.erase(on_way_.begin());
+    while (!in_transit_.empty() && in_transit_.begin()->first <= now) {
+      const auto [at, from] = *in_transit_.begin();
+      in_transit_.erase(in_transit_.begin());
       arrivals_.push_back(at);
       for (auto& [name, it] : gateways_) {
         if (it.limit.get() == from) {
@@ -237,12 +247,13 @@
     TimeUs settled_at = 0;
   };
   std::map<NodeId, Gateway> gateways_;
-  std::multimap<TimeUs, ColdLimit*> on_way_;
+  std::multimap<TimeUs, ColdLimit*> in_transit_;
   std::vector<TimeUs> arrivals_;
 };
 
-RC_GTEST_PROP(ColdLimitModelTest, NoSecondSeesMoreThanTheBound, ()) {
-  // One drawn seed for all: a history of thousands of draws is not shrunk.
+RC_GTEST_PROP(ColdReplicaLimiterModelTest, NoSecondSeesMoreThanTheBound, ()) {
+  // Only the seed is drawn by rapidcheck, because shrinking a history of
+  // thousands of draws would not work.
   Random random(*rc::gen::arbitrary<std::uint64_t>());
   ColdFleet fleet;
   const std::uint64_t first = 1 + random.Below(60);
--- a/tests/gateway/evacuation_test.cc
+++ b/tests/gateway/evacuation_test.cc
@@ -1,5 +1,5 @@
-// Failure domains that the operator empties: where work goes meanwhile, and
-// what clients hear when there is nowhere to go.
+// Tests of the evacuation of failure domains: where work goes during an
+// evacuation, and what clients receive when no replica is left.
 #include "coordination/gateway/evacuations.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 struct EvacuationRig : GatewayRig {
   Evacuations evacuations{&directory, &metrics, &log};
 
-  void Order(const std::string& domain, std::uint64_t version) {
+  void Evacuate(const std::string& domain, std::uint64_t version) {
     if (evacuations.OnOrder({domain, version})) {
       core.OnEvacuated();
     }
@@ -39,9 +39,9 @@
   }
 };
 
-// Load: plain requests and streams while one of two failure domains is emptied
-// and taken back. New ones go to the other one meanwhile; what was begun in the
-// emptied one ends there.
+// One of two failure domains is evacuated and put back into use while plain
+// requests and streams arrive. New requests go to the other domain meanwhile;
+// requests in progress finish in the evacuated one.
 TEST(EvacuationTest, SendsNothingNewToAnEmptiedDomain) {
   EvacuationRig rig;
   for (const char* it : {"app", "engine"}) {
@@ -56,7 +56,7 @@
     }
   }
   ASSERT_TRUE(begun);
-  rig.Order("a", 5);
+  rig.Evacuate("a", 5);
   EXPECT_EQ(rig.ReplicasUsed("plain", 20), (std::set<std::string>{"app-b"}));
   EXPECT_EQ(rig.ReplicasUsed("stream", 20),
             (std::set<std::string>{"engine-b"}));
@@ -68,15 +68,15 @@
   EXPECT_EQ(rig.ReplicasUsed("plain", 40).size(), 2U);
 }
 
-// The second try of a request, after its first replica failed it, keeps out of
-// a failure domain that was emptied between the two.
+// The retry of a request whose first replica failed avoids a failure domain
+// that was evacuated between the two attempts.
 TEST(EvacuationTest, RepeatsGoElsewhereToo) {
   EvacuationRig rig;
   rig.AddReplica("r1", "app", "a");
   const ExchangeId id = rig.Call("repeat");
   rig.AddReplica("r2", "app", "b");
   rig.AddReplica("r3", "app", "c");
-  rig.Order("b", 5);
+  rig.Evacuate("b", 5);
   rig.AnswerWith(rig.sent[0].call, GatewayRig::Head(500), "failed");
   ASSERT_EQ(rig.sent.size(), 2U);
   EXPECT_EQ(rig.sent[1].replica, ReplicaId("r3"));
@@ -84,9 +84,9 @@
   EXPECT_EQ(rig.answered[id].second, "good");
 }
 
-// Clients hear at once that nothing ran and when to come back: every failure
-// domain is emptied. Those whose stages were under way hear it at the same
-// moment, not when they would have left; one that a replica has is answered.
+// All failure domains are evacuated. New requests are refused at once as not
+// run, with a Retry-After, and so are requests whose stages are in progress; a
+// request that is already at a replica is answered.
 TEST(EvacuationTest, RefusesAtOnceWhenAllAreEmptied) {
   EvacuationRig rig;
   rig.AddReplica("e1", "engine", "a");
@@ -94,12 +94,12 @@
   rig.AddReplica("m1", "maker", "a");
   rig.AddReplica("m2", "maker", "b");
   const ExchangeId staged = rig.Call("staged", "k1", {1, 1});
-  ASSERT_EQ(rig.orders.size(), 1U);
+  ASSERT_EQ(rig.tasks.size(), 1U);
   const ExchangeId running = rig.Call("stream");
   ASSERT_EQ(rig.sent.size(), 1U);
-  rig.Order("a", 5);
+  rig.Evacuate("a", 5);
   EXPECT_TRUE(rig.refused.empty());
-  rig.Order("b", 6);
+  rig.Evacuate("b", 6);
   ASSERT_TRUE(rig.refused.contains(staged));
   EXPECT_FALSE(rig.refused.contains(running));
   const ExchangeId late = rig.Call("staged", "k1", {1, 1});
@@ -108,19 +108,20 @@
     EXPECT_EQ(Info(rig.refused[it].reason).http_status, 503);
     EXPECT_GT(rig.refused[it].retry_after, 0);
   }
-  EXPECT_EQ(rig.orders.size(), 1U);
+  EXPECT_EQ(rig.tasks.size(), 1U);
   rig.core.OnReplicaHead(rig.sent[0].call, GatewayRig::Head());
   rig.core.OnReplicaBody(rig.sent[0].call, "id: 1\ndata: x\n\n");
   rig.core.OnReplicaEnd(rig.sent[0].call);
   EXPECT_EQ(rig.ended, std::vector<ExchangeId>{running});
 }
 
-// A replica that is listed while its failure domain is emptied gets nothing; a
-// failure domain that nobody knows empties nothing, until replicas come there.
+// A replica that is added to an evacuated failure domain gets no requests.
+// Evacuating an unknown failure domain has no effect until replicas are added
+// there.
 TEST(EvacuationTest, HoldsForReplicasThatComeLater) {
   EvacuationRig rig;
   rig.AddReplica("r1", "app", "a");
-  rig.Order("nowhere", 4);
+  rig.Evacuate("nowhere", 4);
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
   rig.AddReplica("r2", "app", "nowhere");
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
@@ -128,38 +129,37 @@
   EXPECT_EQ(rig.directory.Of("app").size(), 2U);
 }
 
-// An older row, read late from another gateway, neither empties a failure
-// domain that was taken back nor takes back one that was emptied again.
+// An older row, received late from another gateway, neither evacuates a failure
+// domain again nor ends a newer evacuation.
 TEST(EvacuationTest, OlderRowsChangeNothing) {
   EvacuationRig rig;
   rig.AddReplica("r1", "app", "a");
-  rig.Order("a", 5);
-  rig.Order("a", 7);  // Ordered twice.
+  rig.Evacuate("a", 5);
+  rig.Evacuate("a", 7);  // A newer version of the same order.
   EXPECT_TRUE(rig.directory.Of("app").empty());
   rig.TakeBack("a", 6);
   EXPECT_TRUE(rig.directory.Of("app").empty());
   rig.TakeBack("a", 8);
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
-  rig.Order("a", 7);
+  rig.Evacuate("a", 7);
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
   EXPECT_TRUE(rig.log.Saw("evacuation_passed_over"));
 }
 
-// The store dropped its history while an order was removed and another one was
-// written: the whole table tells both.
+// The store has lost its history of changes while one order was removed and
+// another one added. Reading the complete table applies both.
 TEST(EvacuationTest, FollowsAWholeTable) {
   EvacuationRig rig;
   rig.AddReplica("r1", "app", "a");
   rig.AddReplica("r2", "app", "b");
-  rig.Order("a", 5);
+  rig.Evacuate("a", 5);
   EXPECT_TRUE(rig.evacuations.OnTable(rig.now, {{"b", 8}}, 9));
   ASSERT_EQ(rig.directory.Of("app").size(), 1U);
   EXPECT_EQ(rig.directory.Of("app")[0]->id, ReplicaId("r1"));
   EXPECT_FALSE(rig.evacuations.OnTable(rig.now, {{"b", 8}}, 10));
 }
 
-// A row whose key names no failure domain is refused; the value of one that
-// does says nothing, whatever bytes it holds.
+// A row whose key does not name a failure domain is rejected.
 TEST(EvacuationTest, ReadsKeys) {
   using platform::ParseEvacuation;
   EXPECT_EQ(ParseEvacuation("evacuate/hall-a")->value(), "hall-a");
@@ -184,10 +184,11 @@
   std::vector<std::string> freed;
 };
 
-// Load: pieces wait for the only replica of their failure domain when it is
-// emptied. They go to the other one at once, their patience for near results
-// not over; the call that runs in the emptied one ends there, and its result is
-// used. Nothing tells the emptied replica that the result is free.
+// Pieces wait for the only replica of their preferred failure domain when it is
+// evacuated. They are sent to the replica in the other domain at once, although
+// their time limit for waiting near their inputs has not passed. The call in
+// progress in the evacuated domain finishes there and its result is used, but
+// the evacuated replica gets no request to release the result.
 TEST(EvacuationTest, QueuedPiecesMoveAtOnce) {
   EvacuationRig rig;
   rig.directory.Remove(rig.now, "maker-0");
@@ -197,7 +198,7 @@
   PieceBatcher batcher(&rig.directory, &budget, &output);
   batcher.SetService("maker",
                      *GatewayRig::Config(1)->FindService("maker")->batching);
-  const auto order = [](const std::string& request) {
+  const auto make_task = [](const std::string& request) {
     PieceOrder out;
     out.key = {request, 0, 0};
     out.service = "maker";
@@ -208,14 +209,14 @@
     return out;
   };
   TimeUs now = rig.now;
-  batcher.Add(now, order("first"));
+  batcher.Add(now, make_task("first"));
   batcher.Dispatch(now);
   ASSERT_EQ(output.calls.size(), 1U);
   rig.AddReplica("m2", "maker", "b");
-  batcher.Add(now, order("second"));
+  batcher.Add(now, make_task("second"));
   batcher.Dispatch(now);
   EXPECT_EQ(output.calls.size(), 1U);
-  rig.Order("a", 5);
+  rig.Evacuate("a", 5);
   batcher.OnTick(now += 10 * kMillisecond);
   ASSERT_EQ(output.calls.size(), 2U);
   EXPECT_EQ(output.calls[1].replica, ReplicaId("m2"));
--- a/tests/gateway/gateway_rig.h
+++ b/tests/gateway/gateway_rig.h
@@ -1,5 +1,5 @@
-// One `Gateway` core between recording ports, a hand-driven piece desk and a
-// directory of replicas.
+// Test fixture: a `Gateway` whose output is recorded, with a replica directory
+// and a piece dispatcher that the test controls.
 #ifndef ACACIACHUTE_TESTS_GATEWAY_GATEWAY_RIG_H_
 #define ACACIACHUTE_TESTS_GATEWAY_GATEWAY_RIG_H_
 
@@ -39,7 +39,7 @@
     Configure(1);
     core.OnConfirmed(now);
     core.SetKnownGateways({"g1"});
-    // Requests with stages are refused at once when nobody makes them.
+    // Requests with stages are refused unless the stage service has a replica.
     AddReplica("maker-0", "maker");
   }
 
@@ -123,6 +123,7 @@
     return id;
   }
 
+  // The head of an answer that the replica produced itself.
   static ReplicaHead Head(int status = 200) {
     ReplicaHead head;
     head.status = status;
@@ -138,16 +139,20 @@
     }
     core.OnReplicaEnd(call);
   }
+  // The head of an answer in which the replica states that it did not run the
+  // request.
   static ReplicaHead NotRun(int status = 503) {
     ReplicaHead head;
     head.status = status;
     head.not_run = true;
     return head;
   }
+  // Advances the clock and runs one tick.
   void Pass(DurationUs time) {
     now += time;
     core.OnTick();
   }
+  // Reports the piece as made, with its result stored under `handle`.
   void Made(const PieceOrder& order, const std::string& handle) {
     core.OnPiece({order.key, PieceOutcome::kMade, handle});
   }
@@ -182,7 +187,7 @@
 
   // PieceDesk:
   void Submit(TimeUs, std::vector<PieceOrder> list) override {
-    orders.insert(orders.end(), list.begin(), list.end());
+    tasks.insert(tasks.end(), list.begin(), list.end());
   }
   void Drop(const std::string& request) override { dropped.push_back(request); }
   void Free(const std::vector<std::string>& handles) override {
@@ -206,7 +211,9 @@
   int last_host = 0;
   ExchangeId last_exchange = 0;
   CallId last_call = 0;
+  // Returned by `Unsent`.
   std::size_t unsent = 0;
+  // Returned by `ExpectedWait`.
   PoolWait wait;
   std::map<ExchangeId, OwnAnswer> refused;
   std::map<ExchangeId, std::pair<int, std::string>> answered;
@@ -216,7 +223,7 @@
   std::vector<Sent> sent;
   std::vector<CallId> cancelled;
   std::map<CallId, bool> paused;
-  std::vector<PieceOrder> orders;
+  std::vector<PieceOrder> tasks;
   std::vector<std::string> dropped;
   std::vector<std::string> freed;
 };
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -1,4 +1,5 @@
-// What clients hear, and what replicas are sent, when things fail.
+// What clients and replicas receive from a `Gateway`, mainly when something
+// fails.
 #include <gtest/gtest.h>
 
 #include "tests/gateway/gateway_rig.h"
@@ -18,9 +19,9 @@
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
 
-// The client of a request that must run once gets 502. Its replica's connection
-// broke after the request was sent, so the request may have run, and sending it
-// elsewhere could run it twice.
+// A replica's connection breaks after a non-idempotent request was sent. The
+// request may have run, and sending it elsewhere could run it twice, so the
+// client gets 502.
 TEST(GatewayTest, NeverSendsANonIdempotentRequestAgainAfterABreak) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -32,8 +33,8 @@
   EXPECT_EQ(Info(rig.refused[id].reason).http_status, 502);
 }
 
-// The client gets its answer although the first replica could not be reached:
-// no byte of the request left, so another one may run it.
+// The first replica cannot be reached. No byte of the request was sent, so
+// another replica may run it, and the client gets its answer.
 TEST(GatewayTest, SendsElsewhereWhenNoByteLeft) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -46,9 +47,9 @@
   EXPECT_EQ(rig.answered[id].first, 200);
 }
 
-// The client gets its answer although the first replica was full: the replica
-// itself says that it did not run the request.
-TEST(GatewayTest, SendsElsewhereAfterTheReplicasOwnWord) {
+// The first replica is full and answers that it did not run the request, so
+// another replica may run it.
+TEST(GatewayTest, SendsElsewhereWhenTheReplicaSaysThatItDidNotRun) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
   rig.AddReplica("r2", "app");
@@ -61,8 +62,8 @@
   EXPECT_GT(rig.refused[id].retry_after, 0);
 }
 
-// The client of a request that may be repeated gets the second replica's answer
-// after the first one failed it.
+// The first replica answers an idempotent request with an error; the client
+// gets the answer of the second one.
 TEST(GatewayTest, RepeatsAnIdempotentRequestThatItsReplicaFailed) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -74,8 +75,8 @@
   EXPECT_EQ(rig.answered[id].second, "good");
 }
 
-// The client gets the second replica's own failure, not a third run: the route
-// allows two.
+// The route allows two attempts, so after two failures the client gets the
+// second replica's error, and there is no third attempt.
 TEST(GatewayTest, KeepsToTheRoutesAttempts) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -88,8 +89,9 @@
   EXPECT_EQ(rig.answered[id].first, 500);
 }
 
-// The client gets 502 instead of bytes that some cache or proxy made up: a
-// success counts only with the replica's proof, and only in its own coding.
+// A cache or proxy may answer in place of the replica. A success counts only if
+// it carries the replica's seal and has no added content encoding; otherwise
+// the client gets 502.
 TEST(GatewayTest, TakesNoSuccessWithoutProofOrInAnotherCoding) {
   for (const bool sealed : {false, true}) {
     GatewayRig rig;
@@ -104,8 +106,8 @@
   }
 }
 
-// A process that has just started refuses with 503. It must not say 404 or 401
-// before it knows any configuration: the route and the key may be there.
+// A gateway that has not received a configuration refuses with 503. It must not
+// answer 404 or 401, because the route and the key may exist.
 TEST(GatewayTest, RefusesWithoutAConfiguration) {
   struct Bare : GatewayRig {
     Gateway fresh{{}, this, this, &directory, &random, &metrics, &log};
@@ -130,9 +132,9 @@
   EXPECT_EQ(rig.sent[0].account, "");
 }
 
-// Clients with keys are refused as not run while this process cannot show that
-// its configuration is current: a key may have been taken away meanwhile. Those
-// of anonymous routes are served.
+// While the gateway cannot confirm its configuration, a key may have been
+// revoked, so requests with keys are refused as not run. Anonymous routes are
+// served.
 TEST(GatewayTest, UsesNoKeyUnderAnOldConfiguration) {
   GatewayOptions options;
   options.key_age = 4 * kSecond;
@@ -149,9 +151,9 @@
   EXPECT_EQ(rig.sent.size(), 2U);
 }
 
-// What the caller sees: 503 from a host that is cut from the store, and 200 a
-// moment later from another. While no entry can check keys it is sent away for
-// long, as far as clients honour, because its tries are few.
+// A gateway that cannot read the store answers 503 and sends the client to
+// another gateway that can check keys. If no gateway can, it requests the
+// longest wait that clients accept, because clients retry only a few times.
 TEST(GatewayTest, SendsClientsWhereKeysCanBeChecked) {
   GatewayRig rig;
   rig.Pass(10 * kSecond);
@@ -161,14 +163,16 @@
   EXPECT_LE(rig.refused[cut].retry_after, 50 * kMillisecond);
   EXPECT_GT(rig.refused[cut].retry_after, 0);
   rig.core.SetAnotherIsCurrent(false);
-  const ExchangeId outage = rig.Call("plain");  // It gives ten seconds.
+  // The client's deadline is ten seconds.
+  const ExchangeId outage = rig.Call("plain");
   EXPECT_GE(rig.refused[outage].retry_after, 10 * kSecond / 6);
   EXPECT_LE(rig.refused[outage].retry_after, 10 * kSecond / 3);
 }
 
-// Load: replicas that take 50 connections of all callers. Few gateways keep
-// several idle ones each; of 103 none does, or the replicas would reset those
-// of requests that must run once.
+// Replicas accept 50 connections from all gateways together. Few gateways may
+// keep several idle ones each; with 103 gateways none may be kept, because the
+// replicas would otherwise reset connections of requests that must run only
+// once.
 TEST(GatewayTest, SharesTheConnectionsThatReplicasTake) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -180,8 +184,7 @@
   EXPECT_EQ(rig.sent.back().most_idle_connections, 0U);
 }
 
-// Clients see no version of the configuration after a later one, whatever a
-// stale read brings.
+// A stale read must not replace the configuration by an older version.
 TEST(GatewayTest, NeverGoesBackToAnOlderConfiguration) {
   GatewayRig rig;
   auto newer = GatewayRig::Config(5);
@@ -199,8 +202,8 @@
   EXPECT_EQ(rig.sent.size(), 1U);
 }
 
-// The client gets 504 when its time is over at a replica, and the replica's
-// work is ended.
+// If a replica does not answer before the deadline, the client gets 504 and the
+// call to the replica is cancelled.
 TEST(GatewayTest, AnswersWhenTheTimeIsOver) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -211,7 +214,7 @@
   EXPECT_EQ(rig.cancelled, std::vector<CallId>{rig.sent[0].call});
 }
 
-// A client that hangs up ends its request's work at the replica at once.
+// If the client disconnects, the call to the replica is cancelled at once.
 TEST(GatewayTest, EndsTheWorkOfAClientThatLeft) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -235,8 +238,9 @@
   EXPECT_EQ(rig.ended, std::vector<ExchangeId>{id});
 }
 
-// The client's connection breaks, so that what it has cannot pass for the whole
-// stream: the replica broke off and the route does not allow another run.
+// A replica breaks off a stream that may not be repeated. The client's
+// connection is closed, so that the client does not take the stream for
+// complete.
 TEST(GatewayStreamTest, BreaksAStreamThatCannotGoOn) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -250,9 +254,9 @@
   EXPECT_TRUE(rig.ended.empty());
 }
 
-// The client gets one stream without a gap or a repeat: the first replica broke
-// off in the middle of an event, and another one goes on after the last whole
-// event.
+// The first replica breaks off in the middle of an event, and another one
+// resumes after the last complete event. The client gets one stream without a
+// gap or a repeated event.
 TEST(GatewayStreamTest, ResumesAfterTheLastWholeEvent) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -268,8 +272,8 @@
   EXPECT_EQ(rig.ended, std::vector<ExchangeId>{id});
 }
 
-// A client that takes its stream slowly makes the replica wait instead of
-// filling this process's memory.
+// If the client reads slowly, the gateway stops reading from the replica
+// instead of buffering the stream in memory.
 TEST(GatewayStreamTest, StopsReadingForASlowClient) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -283,8 +287,8 @@
   EXPECT_FALSE(rig.paused[call]);
 }
 
-// A client whose first event does not come leaves after a while that is known;
-// nothing is held for it beyond that.
+// Clients disconnect if the first event does not arrive within a known time;
+// the gateway keeps no state for the request beyond that.
 TEST(GatewayStreamTest, GivesUpWhenTheClientWouldLeave) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -293,18 +297,18 @@
   EXPECT_EQ(rig.refused.count(id), 1U);
 }
 
-TEST(GatewayStagesTest, MakesStagesInOrderAndHandsResultsOn) {
+TEST(GatewayStagesTest, RunsStagesInOrderAndPassesResultsOn) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
-  ASSERT_EQ(rig.orders.size(), 1U);
-  EXPECT_EQ(rig.orders[0].source, "source");
-  rig.Made(rig.orders[0], "10.0.0.9:80/a");
-  ASSERT_EQ(rig.orders.size(), 3U);
-  EXPECT_EQ(rig.orders[1].inputs, std::vector<std::string>{"10.0.0.9:80/a"});
+  ASSERT_EQ(rig.tasks.size(), 1U);
+  EXPECT_EQ(rig.tasks[0].source, "source");
+  rig.Made(rig.tasks[0], "10.0.0.9:80/a");
+  ASSERT_EQ(rig.tasks.size(), 3U);
+  EXPECT_EQ(rig.tasks[1].inputs, std::vector<std::string>{"10.0.0.9:80/a"});
   EXPECT_TRUE(rig.sent.empty());
-  rig.Made(rig.orders[1], "10.0.0.9:80/b");
-  rig.Made(rig.orders[2], "10.0.0.9:80/c");
+  rig.Made(rig.tasks[1], "10.0.0.9:80/b");
+  rig.Made(rig.tasks[2], "10.0.0.9:80/c");
   EXPECT_EQ(rig.freed, std::vector<std::string>{"10.0.0.9:80/a"});
   ASSERT_EQ(rig.sent.size(), 1U);
   EXPECT_EQ(rig.sent[0].inputs,
@@ -314,77 +318,79 @@
   EXPECT_EQ(rig.freed.size(), 3U);
 }
 
-// The client still gets its answer: a result was gone when the model replica
-// wanted it, which then did not run, and the stages were made again.
+// A stage result is no longer available when the engine fetches it. The engine
+// then does not run the request, the stages run again, and the client still
+// gets its answer.
 TEST(GatewayStagesTest, MakesStagesAgainWhenAResultIsGone) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.Call("staged", "k1", {1, 0});
-  rig.Made(rig.orders[0], "10.0.0.9:80/a");
+  rig.Made(rig.tasks[0], "10.0.0.9:80/a");
   ASSERT_EQ(rig.sent.size(), 1U);
   rig.AnswerWith(rig.sent[0].call, GatewayRig::NotRun(409));
-  ASSERT_EQ(rig.orders.size(), 2U);
-  rig.Made(rig.orders[1], "10.0.0.9:80/b");
+  ASSERT_EQ(rig.tasks.size(), 2U);
+  rig.Made(rig.tasks[1], "10.0.0.9:80/b");
   ASSERT_EQ(rig.sent.size(), 2U);
   EXPECT_EQ(rig.sent[1].inputs, std::vector<std::string>{"10.0.0.9:80/b"});
 }
 
-// Load: a burst, and requests whose results lapsed while they waited for their
-// turn. There is no time to make them again. The client hears it now, not when
-// its time is over, and no work is begun for nothing.
+// In a burst, results expire while their request waits, and there is no time to
+// make them again. The client is refused at once instead of at its deadline,
+// and no more stage work is done.
 TEST(GatewayStagesTest, RefusesAtOnceWhatHasNoTimeToBeginAgain) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 0});
   rig.now += 3700 * kMillisecond;
-  rig.Made(rig.orders[0], "10.0.0.9:80/a");
+  rig.Made(rig.tasks[0], "10.0.0.9:80/a");
   ASSERT_EQ(rig.sent.size(), 1U);
   rig.AnswerWith(rig.sent[0].call, GatewayRig::NotRun(409));
-  EXPECT_EQ(rig.orders.size(), 1U);
+  EXPECT_EQ(rig.tasks.size(), 1U);
   ASSERT_TRUE(rig.refused.contains(id));
   EXPECT_EQ(rig.refused[id].verdict, Verdict::kNotRun);
 }
 
-// A client that leaves in the middle of its stages leaves nothing behind.
+// If a client disconnects while its stages run, its pieces are cancelled and
+// its results released.
 TEST(GatewayStagesTest, DropsPiecesAndResultsOfAClientThatLeft) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
-  rig.Made(rig.orders[0], "10.0.0.9:80/a");
+  rig.Made(rig.tasks[0], "10.0.0.9:80/a");
   rig.core.OnGone(id);
   EXPECT_EQ(rig.dropped, std::vector<std::string>{"c1"});
   EXPECT_EQ(rig.freed, std::vector<std::string>{"10.0.0.9:80/a"});
 }
 
-// Load: a burst fills the stages' queues for longer than a client waits. It is
-// refused before any work is done for it, and told to come back within a third
-// of its time, instead of waiting for nothing.
+// A burst fills the stages' queues for longer than clients wait. A new request
+// is refused before any work is done for it, with a Retry-After within a third
+// of its deadline.
 TEST(GatewayStagesTest, RefusesAtOnceWhatCannotBeMadeInTime) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.wait.in_time.fill(3 * kSecond);
   rig.wait.late = 9 * kSecond;
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
-  EXPECT_TRUE(rig.orders.empty());
+  EXPECT_TRUE(rig.tasks.empty());
   EXPECT_EQ(rig.refused[id].verdict, Verdict::kNotRun);
   EXPECT_GT(rig.refused[id].retry_after, 0);
   EXPECT_LE(rig.refused[id].retry_after, 10 * kSecond / 3);
 }
 
-// Load: the queue of late requests is long, that of requests that can be on
-// time is short. A request that can be on time is admitted.
+// The queue of late requests is long, but that of requests that can be on time
+// is short. A request that can be on time is admitted.
 TEST(GatewayStagesTest, AdmitsWhatCanBeOnTime) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.wait.late = 9 * kSecond;
   rig.Call("staged", "k1", {1, 0});
-  EXPECT_EQ(rig.orders.size(), 1U);
+  EXPECT_EQ(rig.tasks.size(), 1U);
 }
 
-// Load: a burst fills the stages' queues for a while. A request that cannot be
-// on time, but that the time after the burst can serve, waits without any work
-// done for it: results made early would hold memory that others need. It is
-// begun when the queues are short.
+// A burst fills the stages' queues for a limited time. A request that cannot be
+// on time but can be served after the burst is parked: no work is done for it,
+// because early results would hold memory that other requests need. It starts
+// when the queues are short.
 TEST(GatewayStagesTest, ParksWhatTheTimeAfterABurstCanServe) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -392,30 +398,31 @@
   rig.wait.late = 1600 * kMillisecond;
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
   rig.Pass(kSecond);
-  EXPECT_TRUE(rig.orders.empty());
+  EXPECT_TRUE(rig.tasks.empty());
   EXPECT_FALSE(rig.refused.contains(id));
   rig.wait = {};
   rig.Pass(200 * kMillisecond);
-  EXPECT_EQ(rig.orders.size(), 1U);
+  EXPECT_EQ(rig.tasks.size(), 1U);
 }
 
-// What the client hears when the burst lasts longer: that its request has not
-// run, as soon as it is too late to begin it, and not when its time is over.
+// If the burst lasts longer than expected, a parked request is refused as not
+// run as soon as it is too late to start it, not only at its deadline.
 TEST(GatewayStagesTest, RefusesAParkedRequestOnceItIsTooLateToBegin) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.wait.in_time.fill(3 * kSecond);
   rig.wait.late = 1600 * kMillisecond;
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
-  rig.Pass(3500 * kMillisecond);  // Of four.
+  // The client disconnects after four seconds without a first event.
+  rig.Pass(3500 * kMillisecond);
   ASSERT_TRUE(rig.refused.contains(id));
   EXPECT_EQ(rig.refused[id].verdict, Verdict::kNotRun);
   rig.wait = {};
   rig.Pass(200 * kMillisecond);
-  EXPECT_TRUE(rig.orders.empty());
+  EXPECT_TRUE(rig.tasks.empty());
 }
 
-// A client that leaves takes its parked request with it.
+// If a client disconnects, its parked request is removed.
 TEST(GatewayStagesTest, ForgetsAParkedRequestWhoseClientLeft) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -424,12 +431,12 @@
   rig.core.OnGone(rig.Call("staged", "k1", {1, 2}));
   rig.wait = {};
   rig.Pass(200 * kMillisecond);
-  EXPECT_TRUE(rig.orders.empty());
+  EXPECT_TRUE(rig.tasks.empty());
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
 
-// Clients on kept connections are told, seconds after the order to stop, that
-// their streams have not run: they would outlast the process and be cut.
+// During shutdown, clients on persistent connections are refused streams as not
+// run, because a stream could outlast the process and be cut off.
 TEST(GatewayDrainTest, RefusesStreamsThatWouldOutlastTheProcess) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -442,8 +449,8 @@
   EXPECT_EQ(rig.sent.size(), 1U);
 }
 
-// Clients whose requests are still in progress when a process must end hear a
-// true word instead of a closed connection.
+// When the process must exit, clients with requests in progress get an answer
+// with the correct verdict instead of a closed connection.
 TEST(GatewayDrainTest, AnswersEverythingBeforeTheEnd) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -456,8 +463,9 @@
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
 
-// A request that may be repeated is lost at the only replica, which may have
-// run it, and there is no other. Its client must not hear that it has not run.
+// An idempotent request is lost at the only replica, which may have run it, and
+// there is no other replica. The client must not be told that the request did
+// not run.
 TEST(GatewayTest, DoesNotSayNotRunAfterATryThatMayHaveRun) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -467,10 +475,11 @@
   EXPECT_EQ(rig.refused[id].reason, Refusal::kUpstreamFailed);
 }
 
-// A replica crashes behind a cut and starts again under its name. Its old
-// connections close for nobody. A request that may be repeated runs elsewhere
-// at once; the client of one that may not is told that it may have run.
-TEST(GatewayTest, EndsWhatALifeOfAReplicaHadWhenItStartsAgain) {
+// A replica crashes during a network partition and restarts under the same
+// name, so nothing closes its old connections. An idempotent request is sent
+// again at once; the client of a non-idempotent one is told that it may have
+// run.
+TEST(GatewayTest, FailsCallsToAnOldIncarnationWhenAReplicaRestarts) {
   GatewayRig rig;
   rig.AddReplica({"r", 5}, "app");
   const ExchangeId once = rig.Call("plain");
@@ -486,7 +495,7 @@
   EXPECT_EQ(rig.cancelled.size(), 2U);
 }
 
-// Nothing new goes to a replica that says that it leaves.
+// A replica that is leaving gets no new requests.
 TEST(GatewayTest, SendsNothingToALeavingReplica) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
@@ -498,8 +507,8 @@
   EXPECT_EQ(rig.refused[id].reason, Refusal::kNoReplica);
 }
 
-// Load: clients retry at once, and a service's replicas refuse everything. The
-// second sends stop at the budget, so that they do not double the load.
+// A service's replicas refuse everything. Retries by the gateway stop at the
+// retry budget, so that they do not double the load.
 TEST(GatewayTest, StopsRepeatingAtTheBudget) {
   GatewayOptions options;
   options.budget = {0.2, 20, 10 * kSecond};
--- a/tests/gateway/quiet_log.h
+++ b/tests/gateway/quiet_log.h
@@ -1,4 +1,4 @@
-// A log that keeps the names of its events.
+// An event log that records only the names of the events.
 #ifndef ACACIACHUTE_TESTS_GATEWAY_QUIET_LOG_H_
 #define ACACIACHUTE_TESTS_GATEWAY_QUIET_LOG_H_
 
--- a/tests/load_decisions_test.cc
+++ b/tests/load_decisions_test.cc
@@ -1,4 +1,4 @@
-// The decisions under load, one by one and without a network.
+// Unit tests of the load decisions, without a network.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -30,7 +30,8 @@
   return replica;
 }
 
-// A pool of one replica with `queued` patient calls before its four slots.
+// A pool of one replica with four slots, all in use, and `queued` waiting
+// patient calls.
 struct OnePool {
   explicit OnePool(std::uint32_t queued) : replica(MakeReplica("g-1", 4)) {
     replica.load.queued = queued;
@@ -44,11 +45,11 @@
   SharedPool pool;
 };
 
-// The caller sends a patient request whose wait and service cannot fit into its
-// deadline. It is refused before it costs anything, and told how long the
-// shortage lasts; with more time left it is taken.
+// A patient request is refused before any work is done if its wait and service
+// time do not fit into its deadline, and the verdict says how long the shortage
+// lasts. With more time left, it is admitted.
 TEST(AdmissionTest, RefusesWhatCannotBeInTime) {
-  OnePool full(40);  // Five seconds of work before four slots.
+  OnePool full(40);  // Five seconds of work for four slots.
   const auto verdict = full.Decide(CallerClass::kPatient, 5 * kSecond);
   EXPECT_EQ(verdict.reason, Refusal::kFull);
   EXPECT_GT(verdict.wait, 0);
@@ -56,8 +57,9 @@
             Refusal::kNone);
 }
 
-// Forty patient calls wait. An urgent caller waits for none of them but the one
-// service that ends next, so the same deadline is enough for it.
+// Forty patient calls wait. An urgent call waits only until the next slot is
+// released, so a deadline that is too short for a patient call is sufficient
+// for it.
 TEST(AdmissionTest, UrgentIsNotRefusedForPatientWork) {
   OnePool full(40);
   EXPECT_EQ(full.Decide(CallerClass::kUrgent, kSecond).reason, Refusal::kNone);
@@ -72,9 +74,9 @@
             Refusal::kNone);
 }
 
-// Own calls are in the report and in the own count. Counted twice, a pool would
-// look full at half its load; not at all, calls sent since the report would be
-// forgotten.
+// An entry's own calls appear both in the replica's report and in the entry's
+// own count. Counting them twice would make a pool look full at half its load;
+// not counting them would ignore calls sent since the report.
 TEST(PoolLoadTest, CountsOwnWorkOnce) {
   Replica replica = MakeReplica("g-1", 4);
   replica.own_in_progress = replica.own_at_report = 3;
@@ -93,9 +95,10 @@
   EXPECT_FALSE(load.known());
 }
 
-// One replica answers nothing and fails fast, so it always has the least work
-// in progress. Callers lose the few requests it takes to notice; after that it
-// gets one idempotent probe in a while, never a request that may run only once.
+// One replica fails every call fast, so it always has the least work in
+// progress. Callers lose the few requests needed to detect this; afterwards the
+// replica gets one idempotent probe per probe period, and never a request that
+// may run only once.
 TEST(RouterTest, FailingReplicaIsShunnedAndProbed) {
   Random random(1);
   Router router(&random);
@@ -122,9 +125,10 @@
   EXPECT_EQ(choose(false), &bad);
 }
 
-// The only replica of a pool breaks three calls and is well again. Refusing its
-// callers until a probe comes would refuse them for nothing, and orders, which
-// are never probes, for ever. Retries still stay away from it.
+// The only replica of a pool fails some calls and recovers. It must still get
+// first attempts while it is shunned: otherwise callers would be refused until
+// the next probe, and forever in a pool that gets only non-idempotent calls,
+// which are never probes. Retries still avoid it.
 TEST(RouterTest, OnlyReplicaIsUsedThoughShunned) {
   Random random(1);
   Router router(&random);
@@ -140,8 +144,8 @@
       nullptr);
 }
 
-// A pool gets only orders, which are never probes. One replica fails for a
-// while; without a limit to the shunning it would stay idle for ever.
+// A pool gets only non-idempotent calls, which are never probes. Without a time
+// limit on shunning, a replica that failed for a while would stay idle forever.
 TEST(RouterTest, ShunnedReplicaIsTrustedAgainWithoutProbes) {
   Random random(1);
   Router router(&random);
@@ -160,13 +164,13 @@
     }
     return n;
   };
-  const TimeUs again = kSecond + ReplicaHealth::kTrustAgainAfter;
-  EXPECT_EQ(chosen(again - 1), 0);
-  EXPECT_GT(chosen(again), 0);
+  const TimeUs trusted_again_at = kSecond + ReplicaHealth::kTrustAgainAfter;
+  EXPECT_EQ(chosen(trusted_again_at - 1), 0);
+  EXPECT_GT(chosen(trusted_again_at), 0);
 }
 
-// A replica four times as slow with the same work in progress would answer
-// last; it is used again when the others are that much fuller.
+// With the same work in progress, a replica that is four times slower would
+// answer last; it is used once the others are correspondingly more loaded.
 TEST(RouterTest, SlowReplicaGetsItsPart) {
   Random random(1);
   Router router(&random);
@@ -197,12 +201,13 @@
   EXPECT_EQ(choose({}), &only);
 }
 
-// A thousand callers are refused in one moment. Told the same time, they would
-// all be back in it; here no second has many more than the pool can serve.
+// A thousand callers are refused at the same time. With the same Retry-After
+// they would all return in the same second; with the schedule, no second gets
+// many more than the pool can serve.
 TEST(ReturnScheduleTest, RefusedCallersComeBackApart) {
   Random random(1);
   ReturnSchedule returns(&random);
-  constexpr DurationUs kCallTime = 25 * kMillisecond;  // 40 a second.
+  constexpr DurationUs kCallTime = 25 * kMillisecond;  // 40 per second.
   std::map<DurationUs, int> by_second;
   for (int n = 0; n < 1000; ++n) {
     const DurationUs wait = returns.Next(0, 0, kCallTime);
@@ -215,8 +220,9 @@
   }
 }
 
-// 1,500 replicas in eight domains: each entry takes its own part, from every
-// domain, and the loss of one replica changes a part by that one only.
+// With 1,500 replicas in eight failure domains, each entry uses its own subset
+// with replicas of every domain, and the loss of one replica changes a subset
+// only by that replica.
 TEST(SubsetTest, SpreadsOverDomainsAndMovesLittle) {
   std::vector<Replica> replicas;
   replicas.reserve(1500);
@@ -249,8 +255,8 @@
   EXPECT_EQ(kept, kSubsetSize - 1);
 }
 
-// Once a pool's answers pay for retries, a tenth of the first tries may be
-// repeated, whatever fails; a message that never left is not one of them.
+// Retries are limited to a tenth of the first attempts, apart from the initial
+// tokens, whatever fails. An attempt that was never sent does not count.
 TEST(LoadControlTest, RetriesStayWithinTheirBudget) {
   RetryBudget budget;
   int taken = 0;
--- a/tests/load_properties_test.cc
+++ b/tests/load_properties_test.cc
@@ -1,4 +1,5 @@
-// What holds under load for every history of arrivals, answers and faults.
+// Properties of the load decisions that hold for every history of arrivals,
+// answers and failures.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -17,8 +18,8 @@
 constexpr std::array<double, 3> kWeights = {4, 2, 1};
 constexpr double kAllWeights = 7;
 
-// A full pool takes what it answers and the credits that it started with,
-// whoever asks how often; it never owes more than that.
+// The requests admitted to a full pool never exceed the initial credits plus
+// the number of answers, whichever accounts send them and how often.
 void CheckTakenIsBounded() {
   FairShare shares;
   double taken = 0;
@@ -37,14 +38,14 @@
   RC_ASSERT(taken <= FairShare::kMaxCredits * kWeights.size() + answers);
 }
 
-// An account that asks for no more than its share is never refused, however
-// often the others ask in between.
+// An account that sends no more than its share is never refused, however often
+// the others send in between.
 void CheckOwnShareIsKept() {
   FairShare shares;
   const auto account = *rc::gen::inRange<std::size_t>(0, kWeights.size());
   const auto others =
       *rc::gen::container<std::vector<int>>(100, rc::gen::inRange(0, 20));
-  double due = 0;
+  double share_due = 0;
   for (const int n : others) {
     for (int k = 0; k < n; ++k) {
       const auto other = (account + 1 + k % 2) % kWeights.size();
@@ -53,17 +54,17 @@
       }
     }
     shares.OnAnswer();
-    due += kWeights[account] / kAllWeights;
-    if (due >= 1) {
-      due -= 1;
+    share_due += kWeights[account] / kAllWeights;
+    if (share_due >= 1) {
+      share_due -= 1;
       RC_ASSERT(shares.HasCredit(account, kWeights[account]));
       shares.Spend(account, kWeights[account], true);
     }
   }
 }
 
-// Whatever an account has taken as urgent work, it is served again after a
-// bounded number of answers.
+// However many urgent requests an account has sent, it gets a credit again
+// after a bounded number of answers.
 void CheckNobodyStarves() {
   FairShare shares;
   const auto account = *rc::gen::inRange<std::size_t>(0, kWeights.size());
@@ -71,10 +72,10 @@
   for (int n = 0; n < taken; ++n) {
     shares.Spend(account, kWeights[account], true);
   }
-  const double most =
+  const double max_answers =
       std::ceil((FairShare::kMaxDebt + 1) * kAllWeights / kWeights[account]) +
       1;
-  for (int n = 0; n < most; ++n) {
+  for (int n = 0; n < max_answers; ++n) {
     for (std::size_t other = 0; other < kWeights.size(); ++other) {
       if (other != account && shares.HasCredit(other, kWeights[other])) {
         shares.Spend(other, kWeights[other], true);
@@ -86,7 +87,7 @@
 }
 
 // Requests are admitted, sent, answered, refused, failed and given up in any
-// order. When all have ended, the pools look as they did before the first.
+// order. After all have ended, all counts are zero again.
 void CheckCountsReturnToZero() {
   Branch branch;
   branch.name = "b";
@@ -131,7 +132,7 @@
   }
   for (RequestLoad& load : open) {
     control.OnRequestEnd(&load);
-    control.OnRequestEnd(&load);  // Harmless.
+    control.OnRequestEnd(&load);  // Has no effect.
   }
   for (Replica* it : replicas.All()) {
     RC_ASSERT(it->own_in_progress == 0U);
@@ -145,8 +146,8 @@
   }
 }
 
-// Under any mix of load and faults every request ends once: answered, refused
-// or given up, and no request that may run once ran twice.
+// Under any mix of load and failures, every request ends exactly once:
+// answered, refused or given up. No request that may run only once runs twice.
 void CheckEachRequestEndsOnce() {
   bench::Pattern pattern;
   pattern.load = *rc::gen::inRange(1, 30) / 10.0;
--- a/tests/trace_replay_test.cc
+++ b/tests/trace_replay_test.cc
@@ -1,8 +1,9 @@
 // Replays recorded traces through `Entry` and `Sidecar`.
 //
-// A trace in tests/traces/ is a list of JSON lines. The first names the core
-// and what failed; "in" lines hand it a message at a time; each "out" line
-// states what the core must do next. What it does beyond them fails as well.
+// A trace in tests/traces/ is a file of JSON lines. The first line names the
+// core under test and the failure. Each "in" line is one input to the core;
+// each "out" line states the next action that the core must take. Any other
+// action is an error, too.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -41,13 +42,14 @@
   return StrCat(key.request.sequence, "/", key.stage, "/", key.attempt);
 }
 
-// What a core did, one line each, in order.
+// Records the actions of a core, one text line each, in order.
 class Replay {
  public:
   virtual ~Replay() = default;
-  virtual void Take(const std::string& name, const Json& in) = 0;
+  virtual void ApplyInput(const std::string& name, const Json& in) = 0;
 
-  // Lets time pass with the ticks that the core asks for.
+  // Advances the time to `at` and runs the ticks that the core asks for until
+  // then.
   template <typename Core>
   void PassTo(Core* core, TimeUs at) {
     while (core->NextWakeup() <= at) {
@@ -59,7 +61,7 @@
   virtual void PassTo(TimeUs at) = 0;
 
   TimeUs now = kStart;
-  std::vector<std::string> done;
+  std::vector<std::string> actions;
 };
 
 class SidecarReplay : public Replay, SidecarOutput {
@@ -68,7 +70,7 @@
 
   void PassTo(TimeUs at) override { Replay::PassTo(&core_, at); }
 
-  void Take(const std::string& name, const Json& in) override {
+  void ApplyInput(const std::string& name, const Json& in) override {
     if (name == "call") {
       StageCall call;
       call.key = KeyOf(in);
@@ -109,20 +111,20 @@
   }
   void Send(const NodeId& entry, const Message& message) override {
     if (const auto* it = std::get_if<StageFailure>(&message)) {
-      done.push_back(StrCat("failure ", Text(it->key), " ", Name(it->verdict),
-                            " ", Name(it->reason)));
+      actions.push_back(StrCat("failure ", Text(it->key), " ",
+                               Name(it->verdict), " ", Name(it->reason)));
     } else if (const auto* chunk = std::get_if<StageChunk>(&message)) {
-      done.push_back(StrCat("chunk ", Text(chunk->key), " ", chunk->sequence,
-                            chunk->last ? " last" : ""));
+      actions.push_back(StrCat("chunk ", Text(chunk->key), " ", chunk->sequence,
+                               chunk->last ? " last" : ""));
     }
   }
   void CallUpstream(UpstreamCallId id,
                     const StageCall& call,
                     DurationUs time_left) override {
-    done.push_back(StrCat("upstream ", id, " ", Text(call.key)));
+    actions.push_back(StrCat("upstream ", id, " ", Text(call.key)));
   }
   void CancelUpstream(UpstreamCallId id) override {
-    done.push_back(StrCat("cancel ", id));
+    actions.push_back(StrCat("cancel ", id));
   }
   void Export(const Span& span) override {}
 
@@ -138,12 +140,12 @@
         "accounts":{"office":{}},
         "events":{"round":{"stages":[{"pool":"orders"}],
                            "accounts":["office"]}}})")));
-    Hear(kSidecar);
+    ReceiveHeartbeat(kSidecar);
   }
 
   void PassTo(TimeUs at) override { Replay::PassTo(&core_, at); }
 
-  void Take(const std::string& name, const Json& in) override {
+  void ApplyInput(const std::string& name, const Json& in) override {
     if (name == "request") {
       CallerRequest request =
           in.contains("key")
@@ -165,7 +167,7 @@
     } else if (name == "sidecar_lost") {
       core_.OnPeerLost(now, kSidecarName);
     } else if (name == "heartbeat") {
-      Hear(in.value("sidecar", kSidecar));
+      ReceiveHeartbeat(in.value("sidecar", kSidecar));
     } else {
       throw std::runtime_error("unknown input " + name);
     }
@@ -178,46 +180,48 @@
     options.incarnation = kEntry;
     return options;
   }
-  void Hear(Incarnation incarnation) {
+  void ReceiveHeartbeat(Incarnation incarnation) {
     Heartbeat heartbeat;
     heartbeat.role = Role::kSidecar;
     heartbeat.state = NodeState::kReady;
     heartbeat.load.limit = 4;
     core_.OnHeartbeat(now, kSidecarName, incarnation, heartbeat);
   }
-  // "ok" applies the oldest open call; "lost" applies it without a word;
-  // "down" does not apply it.
+  // Answers the oldest pending store call. "ok" applies it; "lost" applies it,
+  // but reports the outcome as unknown; "down" does not apply it and reports
+  // the store as unavailable.
   void AnswerTable(const Json& in) {
     const auto it = calls_.begin();
     if (it == calls_.end()) {
-      throw std::runtime_error("no table call is open");
+      throw std::runtime_error(
+          "the trace answers a store call, but none is pending");
     }
     const auto [ticket, ops] = *it;
     calls_.erase(it);
-    const std::string how = in.at("answer");
+    const std::string answer_kind = in.at("answer");
     StoreAnswer answer = {StoreStatus::kUnavailable, {}};
-    if (how != "down") {
+    if (answer_kind != "down") {
       answer = table_.Transact(ops);
     }
-    if (how == "lost") {
+    if (answer_kind == "lost") {
       answer = {StoreStatus::kUnknown, {}};
     }
     core_.OnStoreAnswer(now, ticket, answer);
   }
   void Send(const NodeId& sidecar, const Message& message) override {
     if (const auto* call = std::get_if<StageCall>(&message)) {
-      done.push_back(StrCat("call ", Text(call->key)));
+      actions.push_back(StrCat("call ", Text(call->key)));
     } else if (const auto* cancel = std::get_if<StageCancel>(&message)) {
-      done.push_back(StrCat("cancel ", Text(cancel->key)));
+      actions.push_back(StrCat("cancel ", Text(cancel->key)));
     }
   }
   void Answer(CallerHandle handle, const CallerAnswer& answer) override {
-    done.push_back(StrCat("told ", handle, " ", Name(answer.verdict), " ",
-                          Name(answer.reason)));
+    actions.push_back(StrCat("told ", handle, " ", Name(answer.verdict), " ",
+                             Name(answer.reason)));
   }
   void Stream(CallerHandle handle, std::string_view part) override {}
   void CallStore(StoreTicket ticket, std::vector<StoreOp> ops) override {
-    done.emplace_back("table");
+    actions.emplace_back("table");
     calls_[ticket] = std::move(ops);
   }
   void Export(const Span& span) override {}
@@ -234,7 +238,7 @@
   std::ifstream file(path);
   std::string line;
   std::unique_ptr<Replay> replay;
-  std::size_t stated = 0;
+  std::size_t checked = 0;
   for (int number = 1; std::getline(file, line); ++number) {
     SCOPED_TRACE(StrCat("line ", number, ": ", line));
     const Json in = Json::parse(line);
@@ -243,20 +247,21 @@
                    ? std::unique_ptr<Replay>(new EntryReplay())
                    : std::unique_ptr<Replay>(new SidecarReplay());
     } else if (in.contains("out")) {
-      ASSERT_LT(stated, replay->done.size()) << "nothing more was done";
-      EXPECT_EQ(replay->done[stated++], in.at("out").get<std::string>());
+      ASSERT_LT(checked, replay->actions.size())
+          << "expected another action, but the core took none";
+      EXPECT_EQ(replay->actions[checked++], in.at("out").get<std::string>());
     } else {
-      ASSERT_EQ(stated, replay->done.size())
-          << "not stated: " << replay->done[stated];
+      ASSERT_EQ(checked, replay->actions.size())
+          << "action not stated in the trace: " << replay->actions[checked];
       replay->PassTo(kStart + in.at("at_ms").get<TimeUs>() * kMillisecond);
       if (in.contains("in")) {
-        replay->Take(in.at("in"), in);
+        replay->ApplyInput(in.at("in"), in);
       }
     }
   }
-  ASSERT_TRUE(replay) << "no core named";
-  ASSERT_EQ(stated, replay->done.size())
-      << "not stated: " << replay->done[stated];
+  ASSERT_TRUE(replay) << "the trace does not name a core";
+  ASSERT_EQ(checked, replay->actions.size())
+      << "action not stated in the trace: " << replay->actions[checked];
 }
 
 TEST(TraceReplayTest, EveryTraceEndsAsStated) {
