--- a/src/coordination/admission/admission.cc
+++ b/src/coordination/admission/admission.cc
@@ -8,7 +8,7 @@
                                    const Arrival& arrival) const {
   DurationUs needed = 0;
   DurationUs longest_wait = 0;
-  SharedPool* most_loaded = nullptr;
+  PoolState* most_loaded = nullptr;
   for (const StageEstimate& stage : pipeline) {
     const DurationUs wait = stage.pool->load.Wait(arrival.caller_class);
     needed += wait + (stage.service > 0 ? stage.service
--- a/src/coordination/admission/admission.h
+++ b/src/coordination/admission/admission.h
@@ -23,7 +23,7 @@
 namespace acaciachute {
 
 // State that one entry keeps for a pool.
-struct SharedPool {
+struct PoolState {
   PoolLoad load;
   FairShare shares;
   // Replicas of the pool that this entry uses; see subset.h.
@@ -32,7 +32,7 @@
 
 // One stage of an event, with its expected service time.
 struct StageEstimate {
-  SharedPool* pool = nullptr;
+  PoolState* pool = nullptr;
   DurationUs service = 0;  // Moving average; zero until the first answer.
 };
 using PipelineEstimate = std::vector<StageEstimate>;
@@ -48,7 +48,7 @@
 struct AdmissionVerdict {
   Refusal reason = Refusal::kNone;
   // The pool with the longest queue wait.
-  const SharedPool* pool = nullptr;
+  const PoolState* pool = nullptr;
   // Time after which the request might be admitted.
   DurationUs wait = 0;
 };
--- a/src/coordination/admission/load_control.cc
+++ b/src/coordination/admission/load_control.cc
@@ -20,13 +20,13 @@
       router_(random),
       return_schedule_(random) {}
 
-SharedPool* LoadControl::PoolNamed(std::string_view name) {
+PoolState* LoadControl::PoolNamed(std::string_view name) {
   const auto it = pools_.find({name.data(), name.size()});
   if (it != pools_.end()) {
     return it->second.get();
   }
   auto& pool = pools_[std::string(name)];
-  pool = std::make_unique<SharedPool>();
+  pool = std::make_unique<PoolState>();
   return pool.get();
 }
 
--- a/src/coordination/admission/load_control.h
+++ b/src/coordination/admission/load_control.h
@@ -88,7 +88,7 @@
   }
 
  private:
-  SharedPool* PoolNamed(std::string_view name);
+  PoolState* PoolNamed(std::string_view name);
   const std::shared_ptr<PipelineEstimate>& EstimateOf(std::string_view name,
                                                       const Event& event);
   // Ends the current stage in the counts and moves on to the next one.
@@ -102,7 +102,7 @@
   Router router_;
   RetryBudget retry_budget_;
   ReturnSchedule return_schedule_;
-  absl::flat_hash_map<std::string, std::unique_ptr<SharedPool>> pools_;
+  absl::flat_hash_map<std::string, std::unique_ptr<PoolState>> pools_;
   absl::flat_hash_map<std::string, std::shared_ptr<PipelineEstimate>>
       estimates_;
 };
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -192,9 +192,9 @@
   }
   request->resume_after = request->call.resume_after;
   request->admission = HasNoReplica(*request, &refusal)
-                           ? Admission::kRefused
+                           ? AdmissionResult::kRefused
                            : DecideAdmission(request.get(), &refusal);
-  if (request->admission == Admission::kRefused) {
+  if (request->admission == AdmissionResult::kRefused) {
     RefuseUnadmitted(id, request->call, refusal);
     return;
   }
@@ -203,7 +203,7 @@
   ServingRequest* it = request.get();
   by_request_id[it->call.id] = it;
   requests[id] = std::move(request);
-  if (it->admission == Admission::kParked) {
+  if (it->admission == AdmissionResult::kParked) {
     it->parked = true;
     parked.emplace(it->priority, it->received_at, id);
     // Started later than this, it could not be served before its client
@@ -236,10 +236,10 @@
              : 0;
 }
 
-Gateway::Impl::StageEstimates Gateway::Impl::ExpectedWaits(
+Gateway::Impl::WaitEstimate Gateway::Impl::EstimateWaits(
     const ServingRequest& request) const {
   const TimeUs now = ports->Now();
-  StageEstimates waits;
+  WaitEstimate waits;
   for (std::uint32_t n = 0; n < request.route->stages.size(); ++n) {
     if (request.progress.Pieces(n) == 0) {
       continue;
@@ -260,28 +260,28 @@
 // be served after the burst are parked: no work is done for them yet, so they
 // hold no memory. All others are refused, with a Retry-After at which the queue
 // is expected to be shorter.
-Admission Gateway::Impl::DecideAdmission(ServingRequest* request,
-                                         OwnAnswer* refusal) {
+AdmissionResult Gateway::Impl::DecideAdmission(ServingRequest* request,
+                                               OwnAnswer* refusal) {
   if (request->route->stages.empty()) {
-    return Admission::kInTime;
+    return AdmissionResult::kInTime;
   }
   const TimeUs now = ports->Now();
-  const auto [in_time, late, work] = ExpectedWaits(*request);
+  const auto [in_time, late, work] = EstimateWaits(*request);
   request->expected_wait = in_time;
   if (now + in_time + work <= request->target_by) {
-    return Admission::kInTime;
+    return AdmissionResult::kInTime;
   }
   const DurationUs left = request->first_response_by - now;
   const auto share = [left](double part) {
     return static_cast<DurationUs>(part * static_cast<double>(left));
   };
   if (late + work <= share(kLateAdmissionShare)) {
-    return Admission::kLate;
+    return AdmissionResult::kLate;
   }
   const DurationUs expected_start =
       kParkedStartPeriod * static_cast<DurationUs>(parked.size() + 1);
   if (late + expected_start + work <= share(kParkedAdmissionShare)) {
-    return Admission::kParked;
+    return AdmissionResult::kParked;
   }
   const DurationUs longest = left / kRetryAfterDivisor;
   const auto shortest = std::min(
@@ -299,7 +299,7 @@
                      (request->target_by - now) / kMillisecond,
                      " ms, remaining milliseconds until deadline ",
                      left / kMillisecond)};
-  return Admission::kRefused;
+  return AdmissionResult::kRefused;
 }
 
 void Gateway::Impl::BeginParked() {
@@ -316,7 +316,7 @@
     if (blocked_routes.contains(request->route)) {
       continue;
     }
-    if (ExpectedWaits(*request).late > kParkedStartWait) {
+    if (EstimateWaits(*request).late > kParkedStartWait) {
       blocked_routes.insert(request->route);
       continue;
     }
--- a/src/coordination/gateway/gateway_impl.h
+++ b/src/coordination/gateway/gateway_impl.h
@@ -42,11 +42,11 @@
 
 // Result of the admission decision: on time, admitted although it will be late,
 // parked until the queues are short, or refused.
-enum class Admission { kInTime, kLate, kParked, kRefused };
-inline constexpr std::array<std::string_view, 4> kAdmissionNames = {
+enum class AdmissionResult { kInTime, kLate, kParked, kRefused };
+inline constexpr std::array<std::string_view, 4> kAdmissionResultNames = {
     "in_time", "late", "parked", "refused"};
-constexpr std::string_view Name(Admission v) {
-  return detail::NameIn(kAdmissionNames, v);
+constexpr std::string_view Name(AdmissionResult v) {
+  return detail::NameIn(kAdmissionResultNames, v);
 }
 
 // Assumed time from the end of the last stage to the engine's first event:
@@ -92,7 +92,7 @@
   TimeUs expires_at = 0;
 
   StageProgress progress;
-  Admission admission = Admission::kInTime;
+  AdmissionResult admission = AdmissionResult::kInTime;
   // Expected wait in the stages' queues, at admission.
   DurationUs expected_wait = 0;
   // No stage was started yet; see `Gateway::Impl::DecideAdmission`.
@@ -140,9 +140,9 @@
   bool HasNoReplica(const ServingRequest& request, OwnAnswer* refusal);
   // Decides whether the stages can be completed in time for the client; fills
   // `refusal` if not.
-  Admission DecideAdmission(ServingRequest* request, OwnAnswer* refusal);
+  AdmissionResult DecideAdmission(ServingRequest* request, OwnAnswer* refusal);
   // Expected queueing and processing times of a request's stages.
-  struct StageEstimates {
+  struct WaitEstimate {
     // Sum of the queue waits if the request is on time.
     DurationUs in_time = 0;
     // Longest queue wait of a stage if the request is late.
@@ -150,7 +150,7 @@
     // Processing time until the first event, without queueing.
     DurationUs work = 0;
   };
-  StageEstimates ExpectedWaits(const ServingRequest& request) const;
+  WaitEstimate EstimateWaits(const ServingRequest& request) const;
   // Starts the first parked request whose queues have become short enough.
   void BeginParked();
   // Estimates how long ago the client first sent this request, if this is a
--- a/tests/load_decisions_test.cc
+++ b/tests/load_decisions_test.cc
@@ -42,7 +42,7 @@
                               {caller_class, 0, 1, time_left});
   }
   Replica replica;
-  SharedPool pool;
+  PoolState pool;
 };
 
 // A patient request is refused before any work is done if its wait and service
