--- a/tests/gateway/evacuation_test.cc
+++ b/tests/gateway/evacuation_test.cc
@@ -159,7 +159,8 @@
   EXPECT_FALSE(rig.evacuations.OnTable(rig.now, {{"b", 8}}, 10));
 }
 
-// A row whose key does not name a failure domain is rejected.
+// A row whose key does not name a failure domain is rejected. The value of a
+// row has no meaning, whatever bytes it holds.
 TEST(EvacuationTest, ReadsKeys) {
   using platform::ParseEvacuation;
   EXPECT_EQ(ParseEvacuation("evacuate/hall-a")->value(), "hall-a");
