--- a/src/coordination/admission/fair_share.h
+++ b/src/coordination/admission/fair_share.h
@@ -40,6 +40,7 @@
   // small accounts would then be refused by chance.
   static constexpr double kMinUncontendedCredits = kMaxCredits / 2;
 
+  // Whether the account may send a request while the pool is full.
   bool HasCredit(AccountIndex account, double weight);
   // A request of the account was admitted, with or without a credit. If the
   // pool is not `full`, this does not take the account below
--- a/src/coordination/admission/load_control.h
+++ b/src/coordination/admission/load_control.h
@@ -30,15 +30,19 @@
   std::shared_ptr<PipelineEstimate> pipeline;
   CallerClass caller_class = CallerClass::kPatient;
   AccountIndex account = 0;
+  // Index of the current stage.
   std::size_t stage = 0;
   bool started = false;  // The current stage was sent at least once.
 };
 
+// The decision on a request; a reason of `kNone` means that it is admitted.
 struct LoadDecision {
   Refusal reason = Refusal::kNone;
   DurationUs retry_after = 0;
 };
 
+// How an attempt ended: answered, refused by the replica, failed, never sent,
+// or given up by the entry.
 enum class AttemptEnd { kAnswered, kRefused, kFailed, kUnsent, kGivenUp };
 
 class LoadControl {
--- a/src/coordination/choice/cold_limit.h
+++ b/src/coordination/choice/cold_limit.h
@@ -80,8 +80,9 @@
 
  private:
   struct Limits {
-    // Maximum number of requests per `kArrivalWindow`.
+    // Maximum number of requests per `kArrivalWindow`, over all gateways.
     double bound = 0;
+    // Time that a replica stays cold after its start.
     DurationUs cold_start = 0;
   };
   // Requests sent to one replica.
--- a/src/coordination/choice/engine_choice.h
+++ b/src/coordination/choice/engine_choice.h
@@ -134,6 +134,7 @@
   static UncachedTokens UncachedTokensAt(const Engine& engine,
                                          const EngineRequest& request,
                                          bool home);
+  // Expected work until the first token, in prompt tokens; lower is better.
   double Score(const ReplicaEntry& replica,
                const Engine& engine,
                const EngineRequest& request,
--- a/src/coordination/choice/plain_choice.h
+++ b/src/coordination/choice/plain_choice.h
@@ -61,12 +61,14 @@
 
  private:
   struct State {
+    // Moving average of answer times, last updated at `measured_at`.
     double answer_time = static_cast<double>(kInitialAnswerTime);
     TimeUs measured_at = 0;
     std::multiset<TimeUs> sent_times;  // Start times of the calls in progress.
     ReplicaHealth health;
   };
 
+  // Expected answer time in microseconds; lower is better.
   double Score(TimeUs now,
                const ReplicaEntry& replica,
                const std::string& domain);
