--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -479,7 +479,7 @@
 // name, so nothing closes its old connections. An idempotent request is sent
 // again at once; the client of a non-idempotent one is told that it may have
 // run.
-TEST(GatewayTest, FailsCallsToAnOldIncarnationWhenAReplicaRestarts) {
+TEST(GatewayTest, EndsWhatAnIncarnationHadWhenItsReplicaStartsAgain) {
   GatewayRig rig;
   rig.AddReplica({"r", 5}, "app");
   const ExchangeId once = rig.Call("plain");
