--- a/src/coordination/choice/cold_limit.cc
+++ b/src/coordination/choice/cold_replica_limiter.cc
@@ -1,4 +1,4 @@
-#include "coordination/choice/cold_limit.h"
+#include "coordination/choice/cold_replica_limiter.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,12 +7,13 @@
 
 namespace acaciachute {
 
-void ColdLimit::SetBound(const ColdBound& bound, DurationUs replica_beat) {
+void ColdReplicaLimiter::SetBound(const ColdRateBound& bound,
+                                  DurationUs replica_heartbeat_period) {
   bound_ = bound;
-  replica_beat_ = replica_beat;
+  replica_heartbeat_period_ = replica_heartbeat_period;
 }
 
-void ColdLimit::SetServices(const ServingConfig& config) {
+void ColdReplicaLimiter::SetServices(const ServingConfig& config) {
   services_.clear();
   for (const auto& [name, service] : config.services()) {
     if (service.cold_rate > 0) {
@@ -22,14 +23,14 @@
   }
 }
 
-void ColdLimit::SetGateways(std::vector<NodeId> gateways) {
+void ColdReplicaLimiter::SetGateways(std::vector<NodeId> gateways) {
   if (gateways != gateways_) {
     gateways_ = std::move(gateways);
     ++generation_;
   }
 }
 
-const ColdLimit::Limits* ColdLimit::LimitsOf(
+const ColdReplicaLimiter::Limits* ColdReplicaLimiter::LimitsOf(
     const ReplicaEntry& replica) const {
   const auto it = services_.find(replica.service);
   return it == services_.end() ? nullptr : &it->second;
@@ -37,18 +38,20 @@
 
 // A replica whose failure domain was put back into use may have restarted while
 // the domain was evacuated, and its row may not show that yet.
-TimeUs ColdLimit::ColdUntil(const ReplicaEntry& replica,
-                            const Limits& limits) const {
+TimeUs ColdReplicaLimiter::ColdUntil(const ReplicaEntry& replica,
+                                     const Limits& limits) const {
   TimeUs until = replica.cold_until;
-  if (replica.back_at > 0) {
-    until = std::max(until, replica.back_at + limits.cold_start +
-                                kStaleRowHeartbeats * replica_beat_);
+  if (replica.evacuation_ended_at > 0) {
+    until =
+        std::max(until, replica.evacuation_ended_at + limits.cold_start +
+                            kStaleRowHeartbeats * replica_heartbeat_period_);
   }
   return until;
 }
 
-bool ColdLimit::IsBounded(TimeUs now, const ReplicaEntry& replica) const {
-  if (replica.cold_until == 0 && replica.back_at == 0) {
+bool ColdReplicaLimiter::IsBounded(TimeUs now,
+                                   const ReplicaEntry& replica) const {
+  if (replica.cold_until == 0 && replica.evacuation_ended_at == 0) {
     return false;  // Fast path: called for every replica.
   }
   const Limits* limits = LimitsOf(replica);
@@ -56,7 +59,7 @@
          now < ColdUntil(replica, *limits) + kWarmUpDuration;
 }
 
-bool ColdLimit::Takes(TimeUs now, const ReplicaEntry& replica) {
+bool ColdReplicaLimiter::Takes(TimeUs now, const ReplicaEntry& replica) {
   if (!IsBounded(now, replica)) {
     return true;
   }
@@ -72,9 +75,9 @@
          ShareOf(replica.id, &recent_requests, total);
 }
 
-std::size_t ColdLimit::ShareOf(const ReplicaId& replica,
-                               RecentRequests* recent_requests,
-                               double total) {
+std::size_t ColdReplicaLimiter::ShareOf(const ReplicaId& replica,
+                                        RecentRequests* recent_requests,
+                                        double total) {
   const auto whole_requests = static_cast<std::size_t>(total);
   if (gateways_.empty()) {
     return 0;
@@ -89,7 +92,7 @@
   return recent_requests->rank < whole_requests ? 1 : 0;
 }
 
-std::size_t ColdLimit::RankFor(const ReplicaId& replica) const {
+std::size_t ColdReplicaLimiter::RankFor(const ReplicaId& replica) const {
   const double own_weight = RendezvousWeight(replica.name, self_, 1);
   const auto ranked_before =
       std::count_if(gateways_.begin(), gateways_.end(), [&](const NodeId& it) {
@@ -98,7 +101,7 @@
   return static_cast<std::size_t>(ranked_before);
 }
 
-void ColdLimit::OnSent(const ReplicaEntry& replica) {
+void ColdReplicaLimiter::OnSent(const ReplicaEntry& replica) {
   if (LimitsOf(replica) != nullptr) {
     ++recent_requests_[replica.id].in_transit;
   }
@@ -106,7 +109,7 @@
 
 // Requests sent while the replica was warm count too, because it may become
 // cold within the same second.
-void ColdLimit::OnArrived(TimeUs now, const ReplicaEntry& replica) {
+void ColdReplicaLimiter::OnArrived(TimeUs now, const ReplicaEntry& replica) {
   const auto it = recent_requests_.find(replica.id);
   if (it == recent_requests_.end()) {
     return;
@@ -117,14 +120,14 @@
   recent_requests.DropExpired(now);
 }
 
-void ColdLimit::RecentRequests::DropExpired(TimeUs now) {
+void ColdReplicaLimiter::RecentRequests::DropExpired(TimeUs now) {
   while (!arrival_times.empty() &&
          now - arrival_times.front() > kArrivalWindow) {
     arrival_times.pop_front();
   }
 }
 
-void ColdLimit::OnNotSent(const ReplicaEntry& replica) {
+void ColdReplicaLimiter::OnNotSent(const ReplicaEntry& replica) {
   if (const auto it = recent_requests_.find(replica.id);
       it != recent_requests_.end()) {
     it->second.in_transit -= std::min(it->second.in_transit, 1U);
--- a/src/coordination/choice/cold_limit.h
+++ b/src/coordination/choice/cold_replica_limiter.h
@@ -21,8 +21,8 @@
 // After the cold period the limit doubles in steps until it is lifted (slow
 // start), so that the last delayed requests and the first ones at full rate do
 // not arrive together.
-#ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_LIMIT_H_
-#define ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_LIMIT_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_REPLICA_LIMITER_H_
+#define ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_REPLICA_LIMITER_H_
 
 #include <cstdint>
 #include <deque>
@@ -37,7 +37,7 @@
 
 namespace acaciachute {
 
-class ColdLimit {
+class ColdReplicaLimiter {
  public:
   // The limit applies to the arrivals in any interval of this length.
   static constexpr DurationUs kArrivalWindow = kSecond;
@@ -53,9 +53,10 @@
   // needs time to arrive here (one more).
   static constexpr DurationUs kStaleRowHeartbeats = 2;
 
-  explicit ColdLimit(NodeId self) : self_(std::move(self)) {}
+  explicit ColdReplicaLimiter(NodeId self) : self_(std::move(self)) {}
 
-  void SetBound(const ColdBound& bound, DurationUs replica_beat);
+  void SetBound(const ColdRateBound& bound,
+                DurationUs replica_heartbeat_period);
   void SetServices(const ServingConfig& config);
   // All gateways that may send requests, including this one. Empty if this
   // gateway does not know the others well enough to send any to cold replicas.
@@ -109,8 +110,8 @@
   std::size_t RankFor(const ReplicaId& replica) const;
 
   const NodeId self_;
-  ColdBound bound_;
-  DurationUs replica_beat_ = 0;
+  ColdRateBound bound_;
+  DurationUs replica_heartbeat_period_ = 0;
   absl::flat_hash_map<std::string, Limits> services_;
   std::vector<NodeId> gateways_;
   std::uint64_t generation_ = 1;  // Increases when `gateways_` changes.
@@ -119,4 +120,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_LIMIT_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_REPLICA_LIMITER_H_
--- a/src/coordination/choice/engine_choice.h
+++ b/src/coordination/choice/engine_choice.h
@@ -25,8 +25,8 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "absl/container/flat_hash_set.h"
-#include "coordination/choice/cold_limit.h"
-#include "state/client_call.h"
+#include "coordination/choice/cold_replica_limiter.h"
+#include "state/client_request.h"
 #include "state/random.h"
 #include "state/replica_directory.h"
 #include "state/replica_health.h"
@@ -77,7 +77,7 @@
   static constexpr std::size_t kMaxPartsPerEngine = 4096;
 
   EngineChoice(const ReplicaDirectory* directory,
-               ColdLimit* cold,
+               ColdReplicaLimiter* cold,
                Random* random);
 
   // Returns null if no engine outside `tried` accepts work.
@@ -142,7 +142,7 @@
   EngineLoad LoadOf(const ReplicaId& replica) const;
 
   const ReplicaDirectory* const directory_;
-  ColdLimit* const cold_;
+  ColdReplicaLimiter* const cold_;
   Random* const random_;
   absl::flat_hash_map<ReplicaId, Engine> engines_;
   std::map<ReplicaId, EngineLoad> own_loads_;
--- a/src/coordination/choice/plain_choice.h
+++ b/src/coordination/choice/plain_choice.h
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/choice/cold_limit.h"
+#include "coordination/choice/cold_replica_limiter.h"
 #include "state/random.h"
 #include "state/replica_directory.h"
 #include "state/replica_health.h"
@@ -38,7 +38,7 @@
   static constexpr DurationUs kInitialAnswerTime = 20 * kMillisecond;
 
   PlainChoice(const ReplicaDirectory* directory,
-              ColdLimit* cold,
+              ColdReplicaLimiter* cold,
               Random* random);
 
   // Returns null if no replica outside `tried` accepts work.
@@ -74,7 +74,7 @@
                const std::string& domain);
 
   const ReplicaDirectory* const directory_;
-  ColdLimit* const cold_;
+  ColdReplicaLimiter* const cold_;
   Random* const random_;
   std::map<ReplicaId, State> states_;
   double typical_answer_time_ = static_cast<double>(kInitialAnswerTime);
--- a/src/coordination/gateway/evacuations.cc
+++ b/src/coordination/gateway/evacuations.cc
@@ -4,8 +4,7 @@
 
 namespace acaciachute {
 
-void Evacuations::LogState(const EvacuationOrder& order,
-                           std::string_view state) {
+void Evacuations::LogState(const EvacuationRow& order, std::string_view state) {
   metrics_->Count("acaciachute_gateway_evacuations_total", state);
   log_->Write("evacuation", {{"domain", order.domain},
                              {"state", state},
@@ -14,7 +13,7 @@
 }
 
 Evacuations::DomainState* Evacuations::AcceptVersion(
-    const EvacuationOrder& order) {
+    const EvacuationRow& order) {
   DomainState& domain_state = domains_[order.domain];
   if (order.version < domain_state.version) {
     log_->Write("evacuation_passed_over", {{"domain", order.domain},
@@ -26,7 +25,7 @@
   return &domain_state;
 }
 
-bool Evacuations::OnOrder(const EvacuationOrder& order) {
+bool Evacuations::OnOrder(const EvacuationRow& order) {
   DomainState* domain_state = AcceptVersion(order);
   if (domain_state == nullptr || domain_state->in_force) {
     return false;  // Already evacuated; only the version is updated.
@@ -37,28 +36,28 @@
   return true;
 }
 
-void Evacuations::OnTakenBack(TimeUs now, const EvacuationOrder& order) {
+void Evacuations::OnEvacuationEnded(TimeUs now, const EvacuationRow& order) {
   DomainState* domain_state = AcceptVersion(order);
   if (domain_state == nullptr || !domain_state->in_force) {
     return;
   }
   domain_state->in_force = false;
-  directory_->TakeBack(now, order.domain);
+  directory_->EndEvacuation(now, order.domain);
   LogState(order, "taken_back");
 }
 
 bool Evacuations::OnTable(TimeUs now,
-                          const std::vector<EvacuationOrder>& orders,
+                          const std::vector<EvacuationRow>& orders,
                           std::uint64_t version) {
   bool newly_evacuated = false;
   std::set<std::string> listed_domains;
-  for (const EvacuationOrder& it : orders) {
+  for (const EvacuationRow& it : orders) {
     listed_domains.insert(it.domain);
     newly_evacuated = OnOrder(it) || newly_evacuated;
   }
   for (const auto& [domain, domain_state] : domains_) {
     if (domain_state.in_force && !listed_domains.contains(domain)) {
-      OnTakenBack(now, {domain, version});
+      OnEvacuationEnded(now, {domain, version});
     }
   }
   return newly_evacuated;
--- a/src/coordination/gateway/evacuations.h
+++ b/src/coordination/gateway/evacuations.h
@@ -25,7 +25,7 @@
 
 // A row of the operator's table. The failure domain stays evacuated as long as
 // the row exists.
-struct EvacuationOrder {
+struct EvacuationRow {
   std::string domain;
   std::uint64_t version = 0;  // Version of the row, or of its removal.
 };
@@ -37,15 +37,15 @@
 
   // Applies one row. Returns whether the failure domain was not evacuated
   // before.
-  bool OnOrder(const EvacuationOrder& order);
+  bool OnOrder(const EvacuationRow& order);
   // Applies the complete table as of `version`: evacuates the domains in
   // `orders` and ends the evacuation of all others. Returns whether a domain
   // was newly evacuated.
   bool OnTable(TimeUs now,
-               const std::vector<EvacuationOrder>& orders,
+               const std::vector<EvacuationRow>& orders,
                std::uint64_t version);
   // Applies the removal of a row: the evacuation ends.
-  void OnTakenBack(TimeUs now, const EvacuationOrder& order);
+  void OnEvacuationEnded(TimeUs now, const EvacuationRow& order);
 
  private:
   // State of one failure domain.
@@ -58,8 +58,8 @@
 
   // Records the order's version and returns the state of its failure domain.
   // Returns null, and logs it, if a newer version was already applied.
-  DomainState* AcceptVersion(const EvacuationOrder& order);
-  void LogState(const EvacuationOrder& order, std::string_view state);
+  DomainState* AcceptVersion(const EvacuationRow& order);
+  void LogState(const EvacuationRow& order, std::string_view state);
 
   ReplicaDirectory* const directory_;
   Metrics* const metrics_;
--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -18,9 +18,9 @@
 #include <vector>
 
 #include "coordination/choice/engine_choice.h"
-#include "coordination/gateway/attempt_budget.h"
-#include "coordination/stages/piece_desk.h"
-#include "state/client_call.h"
+#include "coordination/gateway/service_retry_budget.h"
+#include "coordination/stages/piece_dispatcher.h"
+#include "state/client_request.h"
 #include "state/event_log.h"
 #include "state/metrics.h"
 #include "state/random.h"
@@ -31,7 +31,7 @@
 namespace acaciachute {
 
 // An answer to a client made by this gateway, not by a replica.
-struct OwnAnswer {
+struct LocalReply {
   Refusal reason = Refusal::kNone;
   Verdict verdict = Verdict::kNotRun;
   DurationUs retry_after = 0;  // Zero: retrying later does not help.
@@ -39,8 +39,8 @@
 };
 
 // One attempt to run a request at one replica.
-struct SendOrder {
-  const ClientCall* call = nullptr;
+struct AttemptRequest {
+  const ClientRequest* call = nullptr;
   ReplicaId replica;
   Address address;
   DurationUs time_left = 0;
@@ -59,15 +59,15 @@
   std::optional<std::size_t> most_idle_connections;
 };
 
-class GatewayPorts {
+class GatewayOutput {
  public:
-  virtual ~GatewayPorts() = default;
+  virtual ~GatewayOutput() = default;
   // Must advance while the host is suspended, because clients' deadlines do
   // too.
   virtual TimeUs Now() = 0;
 
   // Sends the gateway's own answer to the client.
-  virtual void Refuse(ExchangeId id, const OwnAnswer& answer) = 0;
+  virtual void Refuse(ExchangeId id, const LocalReply& answer) = 0;
   // Passes a replica's complete answer to the client.
   virtual void Answer(ExchangeId id,
                       const ReplicaHead& head,
@@ -83,7 +83,7 @@
 
   // Sends an attempt to its replica; the events of the returned call come back
   // through `Gateway::OnReplica...`.
-  virtual CallId Send(const SendOrder& attempt_request) = 0;
+  virtual CallId Send(const AttemptRequest& attempt_request) = 0;
   virtual void Cancel(CallId id) = 0;
   // Stops or resumes reading the replica's answer.
   virtual void SetReading(CallId id, bool reading) = 0;
@@ -95,10 +95,10 @@
   // Maximum age of the last confirmation that the configuration is the newest;
   // beyond it, API keys are not accepted.
   DurationUs key_age = 4 * kSecond;
-  AttemptBudgetLimits budget;
-  ColdBound cold;
+  ServiceRetryBudgetLimits budget;
+  ColdRateBound cold;
   // Period at which a replica rewrites its row.
-  DurationUs replica_beat = 1200 * kMillisecond;
+  DurationUs replica_heartbeat_period = 1200 * kMillisecond;
   bool operator==(const GatewayOptions&) const = default;
 };
 
@@ -132,8 +132,8 @@
   static constexpr DurationUs kClientTransitTime = 3 * kMillisecond;
 
   Gateway(GatewayOptions options,
-          GatewayPorts* ports,
-          PieceDesk* desk,
+          GatewayOutput* output,
+          PieceDispatcher* dispatcher,
           const ReplicaDirectory* directory,
           Random* random,
           Metrics* metrics,
@@ -154,7 +154,7 @@
   void OnEvacuated();
 
   // A client's request arrived.
-  void OnCall(ExchangeId id, ClientCall call);
+  void OnCall(ExchangeId id, ClientRequest call);
   // The client closed its connection.
   void OnGone(ExchangeId id);
   // Bytes queued for the client were written; reading from the replica may
@@ -184,20 +184,20 @@
 
   // Number of gateways that share retry budgets and connection limits,
   // including this one.
-  void SetEntries(std::size_t n);
-  // See `ColdLimit::SetGateways`.
+  void SetGatewayCount(std::size_t n);
+  // See `ColdReplicaLimiter::SetGateways`.
   void SetKnownGateways(std::vector<NodeId> gateways);
   // Whether another gateway can check keys. If this one cannot, refused clients
   // are told to retry at once, so that they reach the other one.
-  void SetAnotherIsCurrent(bool current);
+  void SetPeerCanCheckKeys(bool can_check_keys);
   EngineChoice* engines();
   // The retry budget of a service; the stage pieces of that service share it.
-  AttemptBudget* BudgetOf(const std::string& service);
+  ServiceRetryBudget* RetryBudgetOf(const std::string& service);
   // Whether any configuration was received.
   bool configured() const;
   // Whether requests can be served now: a configuration is known and, if its
   // routes need API keys, was confirmed recently enough.
-  bool current() const;
+  bool can_check_keys() const;
   std::size_t in_progress() const;
 
  private:
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -56,13 +56,13 @@
 // when the request to the store was sent, on a clock that advances while the
 // host is suspended.
 bool Gateway::Impl::ConfigIsConfirmed() const {
-  return confirmed_at >= 0 && ports->Now() - confirmed_at <= options.key_age;
+  return confirmed_at >= 0 && output->Now() - confirmed_at <= options.key_age;
 }
 
 bool Gateway::Impl::FindAccount(const Route& route,
-                                const ClientCall& call,
+                                const ClientRequest& call,
                                 const ClientAccount** account,
-                                OwnAnswer* refusal) {
+                                LocalReply* refusal) {
   if (!config->needs_keys || route.anonymous) {
     return true;
   }
@@ -88,8 +88,8 @@
 // third of their remaining time. The wait is spread so that clients do not
 // retry at the same time.
 DurationUs Gateway::Impl::RetryAfterUncheckedKey(const Route& route,
-                                                 const ClientCall& call) {
-  if (another_is_current) {
+                                                 const ClientRequest& call) {
+  if (peer_can_check_keys) {
     return kRetryElsewhereDelay;
   }
   return LongestRetryAfter(call.deadline > 0
@@ -108,7 +108,7 @@
 // that no replica makes or for a replica that does not exist. Stages that are
 // complete need no replica any more.
 bool Gateway::Impl::HasNoReplica(const ServingRequest& request,
-                                 OwnAnswer* refusal) {
+                                 LocalReply* refusal) {
   std::string_view missing;
   if (directory->Of(request.service).empty()) {
     missing = request.service;
@@ -124,7 +124,7 @@
     return false;
   }
   *refusal = {Refusal::kNoReplica, Verdict::kNotRun,
-              LongestRetryAfter(request.first_response_by - ports->Now()),
+              LongestRetryAfter(request.first_response_by - output->Now()),
               StrCat("no replica of ", missing, " accepts work")};
   return true;
 }
@@ -144,7 +144,7 @@
   return route.split.empty() ? std::string() : route.split.front().service;
 }
 
-void Gateway::Impl::Admit(ExchangeId id, ClientCall call) {
+void Gateway::Impl::Admit(ExchangeId id, ClientRequest call) {
   if (config == nullptr) {
     RefuseUnadmitted(id, call,
                      {Refusal::kNotCurrent, Verdict::kNotRun, kSecond,
@@ -164,12 +164,12 @@
     return;
   }
   const ClientAccount* account = nullptr;
-  OwnAnswer refusal;
+  LocalReply refusal;
   if (!FindAccount(*route, call, &account, &refusal)) {
     RefuseUnadmitted(id, call, refusal);
     return;
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   auto request =
       std::make_unique<ServingRequest>(id, std::move(call), config, route);
   request->account = account;
@@ -188,7 +188,7 @@
   if (route->kind == RouteKind::kStream) {
     request->first_response_by =
         std::min(request->first_response_by,
-                 now + route->FirstEventPatience() - kClientTransitTime);
+                 now + route->FirstEventTimeout() - kClientTransitTime);
   }
   request->resume_after = request->call.resume_after;
   request->admission = HasNoReplica(*request, &refusal)
@@ -219,7 +219,7 @@
 // clients usually have. The request has no field that marks a retry, so this is
 // inferred from the deadline.
 DurationUs Gateway::Impl::ElapsedBefore(const Route& route,
-                                        const ClientCall& call) {
+                                        const ClientRequest& call) {
   auto& p90_us = deadline_p90_us[route.name];
   const auto deadline = static_cast<double>(call.deadline);
   if (p90_us == 0) {
@@ -238,14 +238,14 @@
 
 Gateway::Impl::WaitEstimate Gateway::Impl::EstimateWaits(
     const ServingRequest& request) const {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   WaitEstimate waits;
   for (std::uint32_t n = 0; n < request.route->stages.size(); ++n) {
     if (request.progress.Pieces(n) == 0) {
       continue;
     }
-    const PoolWait wait =
-        desk->ExpectedWait(now, request.route->stages[n].service);
+    const QueueWait wait =
+        dispatcher->ExpectedWait(now, request.route->stages[n].service);
     waits.in_time += wait.Of(request.priority);
     waits.late = std::max(waits.late, wait.late);
   }
@@ -261,11 +261,11 @@
 // hold no memory. All others are refused, with a Retry-After at which the queue
 // is expected to be shorter.
 AdmissionResult Gateway::Impl::DecideAdmission(ServingRequest* request,
-                                               OwnAnswer* refusal) {
+                                               LocalReply* refusal) {
   if (request->route->stages.empty()) {
     return AdmissionResult::kInTime;
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const auto [in_time, late, work] = EstimateWaits(*request);
   request->expected_wait = in_time;
   if (now + in_time + work <= request->target_by) {
@@ -303,7 +303,7 @@
 }
 
 void Gateway::Impl::BeginParked() {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   if (parked.empty() || now < next_parked_at) {
     return;
   }
@@ -335,7 +335,7 @@
   const DurationUs wait =
       kMinRetryAfter +
       static_cast<DurationUs>(random->Below(kRetryAfterSpread));
-  const DurationUs left = request.first_response_by - ports->Now();
+  const DurationUs left = request.first_response_by - output->Now();
   return left > wait ? wait : 0;
 }
 
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -13,7 +13,7 @@
 }
 
 const ReplicaEntry* Gateway::Impl::ChooseReplica(ServingRequest* request) {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const bool repeat = request->route->MayRepeat();
   if (IsEngine(*request)) {
     return engines.Choose(now, request->service, request->ForEngine(),
@@ -44,8 +44,8 @@
 
 void Gateway::Impl::SendTo(ServingRequest* request,
                            const ReplicaEntry& replica) {
-  const TimeUs now = ports->Now();
-  SendOrder attempt_request;
+  const TimeUs now = output->Now();
+  AttemptRequest attempt_request;
   attempt_request.call = &request->call;
   attempt_request.replica = replica.id;
   attempt_request.address = replica.address;
@@ -70,7 +70,7 @@
   request->attempt.replica_list_age = directory->Age(now);
   metrics->Observe("acaciachute_gateway_replica_list_age_seconds",
                    request->service, request->attempt.replica_list_age);
-  request->attempt.call = ports->Send(attempt_request);
+  request->attempt.call = output->Send(attempt_request);
   by_call[request->attempt.call] = request;
 }
 
@@ -79,7 +79,7 @@
   if (request.tried.size() >= kMaxReplicasPerRequest) {
     return false;
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const auto& replicas = directory->Of(request.service);
   return std::any_of(
       replicas.begin(), replicas.end(), [&](const ReplicaEntry* it) {
@@ -103,7 +103,7 @@
                              {"service", request->service},
                              {"waiting", awaiting_cold.size()}});
   SetExpiry(request, std::min(request->first_response_by,
-                              ports->Now() + kMaxColdReplicaWait));
+                              output->Now() + kMaxColdReplicaWait));
 }
 
 void Gateway::Impl::RetryAwaitingCold() {
@@ -174,21 +174,21 @@
     engines.OnFirstEvent(attempt.replica.id, request->ForEngine());
     // The replica fetched its inputs before it read the prompt, so they can be
     // released.
-    desk->Free(request->progress.TakeAll());
+    dispatcher->Free(request->progress.TakeAll());
   }
   if (!request->stream_begun) {
     request->stream_begun = true;
-    request->stream_begun_at = ports->Now();
+    request->stream_begun_at = output->Now();
     SetExpiry(request, request->deadline_at);
     metrics->Observe("acaciachute_gateway_first_event_seconds",
                      request->route->name,
                      request->stream_begun_at - request->received_at);
-    ports->BeginStream(request->id, *attempt.head);
+    output->BeginStream(request->id, *attempt.head);
   }
-  ports->StreamData(request->id, events);
-  if (!attempt.paused && ports->Unsent(request->id) > kMaxUnsentBytes) {
+  output->StreamData(request->id, events);
+  if (!attempt.paused && output->Unsent(request->id) > kMaxUnsentBytes) {
     attempt.paused = true;
-    ports->SetReading(attempt.call, false);
+    output->SetReading(attempt.call, false);
   }
 }
 
@@ -221,13 +221,13 @@
   engines.OnSuccess(attempt.replica.id);
   ++request->possible_runs;
   EndAttempt(request);
-  ports->EndStream(request->id);
+  output->EndStream(request->id);
   Finish(request, Name(Verdict::kAnswered), head.status);
 }
 
 void Gateway::Impl::FinishPlainAnswer(ServingRequest* request) {
   const Attempt attempt = request->attempt;
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const bool failed = attempt.head->status >= 500;
   if (!IsEngine(*request)) {
     PlainChoiceOf(request->service)
@@ -249,7 +249,7 @@
     StartAttempt(request);
     return;
   }
-  ports->Answer(request->id, *attempt.head, attempt.body);
+  output->Answer(request->id, *attempt.head, attempt.body);
   Finish(request, failed ? "replica_failed" : Name(Verdict::kAnswered),
          attempt.head->status);
 }
@@ -258,7 +258,7 @@
   return request.route->MayRepeat() &&
          request.possible_runs < request.route->max_attempts &&
          request.tried.size() < kMaxReplicasPerRequest &&
-         ports->Now() < request.deadline_at;
+         output->Now() < request.deadline_at;
 }
 
 // Retries a request that certainly did not run: the replica said so, or no byte
@@ -277,7 +277,7 @@
         "the replica answered 409: an input result is no longer available");
     return;
   }
-  if (attempt.head && !ServiceBudget(request->service).Take(ports->Now())) {
+  if (attempt.head && !ServiceBudget(request->service).Take(output->Now())) {
     Refuse(
         request,
         {Refusal::kFull, Verdict::kNotRun, 0,
@@ -291,7 +291,7 @@
 void Gateway::Impl::OnMayHaveRun(ServingRequest* request,
                                  std::string_view why) {
   ++request->possible_runs;
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   log->Write("lost", {{"id", request->call.id},
                       {"replica", request->attempt.replica.id.name},
                       {"why", why},
@@ -319,7 +319,7 @@
                              bool sent,
                              std::string_view why) {
   const Attempt attempt = request->attempt;
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   if (IsEngine(*request)) {
     engines.OnFailure(now, attempt.replica.id);
   } else {
@@ -353,7 +353,7 @@
   for (const CallId call : calls) {
     // Failing an earlier call may have ended this call's request.
     if (ServingRequest* request = FindByCall(call)) {
-      ports->Cancel(call);
+      output->Cancel(call);
       OnFailed(request, true, "the replica restarted");
     }
   }
@@ -363,7 +363,7 @@
   Attempt& attempt = request->attempt;
   if (!attempt.arrival_reported) {
     attempt.arrival_reported = true;
-    cold.OnArrived(ports->Now(), attempt.replica);
+    cold.OnArrived(output->Now(), attempt.replica);
   }
 }
 
@@ -387,7 +387,7 @@
 
 void Gateway::Impl::CancelAttempt(ServingRequest* request) {
   if (request->attempt.call != 0) {
-    ports->Cancel(request->attempt.call);
+    output->Cancel(request->attempt.call);
     EndAttempt(request);
   }
 }
--- a/src/coordination/gateway/gateway_impl.h
+++ b/src/coordination/gateway/gateway_impl.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "coordination/choice/cold_limit.h"
+#include "coordination/choice/cold_replica_limiter.h"
 #include "coordination/choice/plain_choice.h"
 #include "coordination/gateway/event_splitter.h"
 #include "coordination/gateway/gateway.h"
@@ -60,7 +60,7 @@
 
 struct ServingRequest {
   ServingRequest(ExchangeId id_in,
-                 ClientCall call_in,
+                 ClientRequest call_in,
                  std::shared_ptr<const ServingConfig> config_in,
                  const Route* route_in)
       : id(id_in),
@@ -74,7 +74,7 @@
   }
 
   const ExchangeId id;
-  const ClientCall call;
+  const ClientRequest call;
   const std::shared_ptr<const ServingConfig> config;  // Owns `route`.
   const Route* const route;
   const ClientAccount* account = nullptr;
@@ -120,8 +120,8 @@
 
 struct Gateway::Impl {
   Impl(GatewayOptions options_in,
-       GatewayPorts* ports_in,
-       PieceDesk* desk_in,
+       GatewayOutput* output_in,
+       PieceDispatcher* dispatcher_in,
        const ReplicaDirectory* directory_in,
        Random* random_in,
        Metrics* metrics_in,
@@ -130,17 +130,17 @@
   using RequestPtr = std::unique_ptr<ServingRequest>;
 
   // gateway_admission.cc
-  void Admit(ExchangeId id, ClientCall call);
+  void Admit(ExchangeId id, ClientRequest call);
   bool FindAccount(const Route& route,
-                   const ClientCall& call,
+                   const ClientRequest& call,
                    const ClientAccount** account,
-                   OwnAnswer* refusal);
+                   LocalReply* refusal);
   // Whether a service that the request still needs has no replica that accepts
   // work; fills `refusal` if so.
-  bool HasNoReplica(const ServingRequest& request, OwnAnswer* refusal);
+  bool HasNoReplica(const ServingRequest& request, LocalReply* refusal);
   // Decides whether the stages can be completed in time for the client; fills
   // `refusal` if not.
-  AdmissionResult DecideAdmission(ServingRequest* request, OwnAnswer* refusal);
+  AdmissionResult DecideAdmission(ServingRequest* request, LocalReply* refusal);
   // Expected queueing and processing times of a request's stages.
   struct WaitEstimate {
     // Sum of the queue waits if the request is on time.
@@ -155,7 +155,7 @@
   void BeginParked();
   // Estimates how long ago the client first sent this request, if this is a
   // retry after a refusal; otherwise zero.
-  DurationUs ElapsedBefore(const Route& route, const ClientCall& call);
+  DurationUs ElapsedBefore(const Route& route, const ClientRequest& call);
   std::string ChooseService(const Route& route);
   // Retry-After for an admitted request that is refused; zero if too little
   // time is left for a retry.
@@ -164,11 +164,12 @@
   // accepts, with random spread below it.
   DurationUs LongestRetryAfter(DurationUs left);
   // Retry-After for a client refused because its key cannot be checked.
-  DurationUs RetryAfterUncheckedKey(const Route& route, const ClientCall& call);
+  DurationUs RetryAfterUncheckedKey(const Route& route,
+                                    const ClientRequest& call);
 
   // gateway_stages.cc
-  std::vector<PieceOrder> TasksOf(const ServingRequest& request,
-                                  std::uint32_t stage) const;
+  std::vector<PieceTask> TasksOf(const ServingRequest& request,
+                                 std::uint32_t stage) const;
   // Failure domain in which the pieces of `stage` are best made; empty if it
   // does not matter.
   std::string PreferredDomain(const ServingRequest& request,
@@ -181,10 +182,10 @@
   void RestartStages(ServingRequest* request, std::string_view why);
 
   // gateway.cc: the end of a request.
-  void Refuse(ServingRequest* request, OwnAnswer answer);
+  void Refuse(ServingRequest* request, LocalReply answer);
   void RefuseUnadmitted(ExchangeId id,
-                        const ClientCall& call,
-                        OwnAnswer answer);
+                        const ClientRequest& call,
+                        LocalReply answer);
   void Finish(ServingRequest* request, std::string_view outcome, int status);
   void Expire(ServingRequest* request);
   void SetExpiry(ServingRequest* request, TimeUs expires_at);
@@ -219,13 +220,13 @@
   ServingRequest* FindByExchange(ExchangeId id);
   ServingRequest* FindByCall(CallId id);
   PlainChoice& PlainChoiceOf(const std::string& service);
-  AttemptBudget& ServiceBudget(const std::string& service);
+  ServiceRetryBudget& ServiceBudget(const std::string& service);
   bool IsEngine(const ServingRequest& request) const;
   bool ConfigIsConfirmed() const;
 
   GatewayOptions options;
-  GatewayPorts* const ports;
-  PieceDesk* const desk;
+  GatewayOutput* const output;
+  PieceDispatcher* const dispatcher;
   const ReplicaDirectory* const directory;
   Random* const random;
   Metrics* const metrics;
@@ -237,13 +238,13 @@
   std::size_t gateway_count = 1;
   // Set during shutdown; see `Gateway::RefuseStreams`.
   bool refuses_streams = false;
-  bool another_is_current = false;
+  bool peer_can_check_keys = false;
   // By route: 90th percentile of its clients' deadlines, in microseconds.
   std::map<std::string, double> deadline_p90_us;
-  ColdLimit cold;
+  ColdReplicaLimiter cold;
   EngineChoice engines;
   std::map<std::string, std::unique_ptr<PlainChoice>> plain_choices;
-  std::map<std::string, AttemptBudget> budgets;
+  std::map<std::string, ServiceRetryBudget> budgets;
   absl::flat_hash_map<ExchangeId, RequestPtr> requests;
   absl::flat_hash_map<CallId, ServingRequest*> by_call;
   absl::flat_hash_map<std::string, ServingRequest*> by_request_id;
--- a/src/coordination/gateway/gateway_stages.cc
+++ b/src/coordination/gateway/gateway_stages.cc
@@ -24,7 +24,7 @@
     const std::vector<std::string>& handles) const {
   std::map<std::string, int> count;
   for (const auto& it : handles) {
-    if (const ReplicaEntry* producer = directory->MakerOf(it)) {
+    if (const ReplicaEntry* producer = directory->ProducerOf(it)) {
       ++count[producer->domain];
     }
   }
@@ -54,11 +54,11 @@
   return {};
 }
 
-std::vector<PieceOrder> Gateway::Impl::TasksOf(const ServingRequest& request,
-                                               std::uint32_t stage) const {
-  const TimeUs now = ports->Now();
+std::vector<PieceTask> Gateway::Impl::TasksOf(const ServingRequest& request,
+                                              std::uint32_t stage) const {
+  const TimeUs now = output->Now();
   const StageSpec& spec = request.route->stages[stage];
-  PieceOrder task;
+  PieceTask task;
   task.service = spec.service;
   task.inputs = request.progress.InputsOf(stage);
   if (spec.after.empty()) {
@@ -82,7 +82,7 @@
   }
   task.near_domain = PreferredDomain(request, stage);
   task.holds_bytes /= std::max(1U, request.progress.Pieces(stage));
-  std::vector<PieceOrder> tasks;
+  std::vector<PieceTask> tasks;
   for (std::uint32_t n = 0; n < request.progress.Pieces(stage); ++n) {
     task.key = {request.call.id, stage, n};
     tasks.push_back(task);
@@ -91,14 +91,14 @@
 }
 
 void Gateway::Impl::RunStages(ServingRequest* request) {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const ExchangeId id = request->id;
   for (const std::uint32_t stage : request->progress.TakeReady()) {
-    std::vector<PieceOrder> tasks = TasksOf(*request, stage);
+    std::vector<PieceTask> tasks = TasksOf(*request, stage);
     if (tasks.empty()) {
       continue;
     }
-    desk->Submit(now, std::move(tasks));
+    dispatcher->Submit(now, std::move(tasks));
     if (FindByExchange(id) == nullptr) {
       return;  // The request was refused during `Submit`.
     }
@@ -110,7 +110,7 @@
 
 void Gateway::Impl::OnStagesDone(ServingRequest* request) {
   request->stages_done = true;
-  request->stages_done_at = ports->Now();
+  request->stages_done_at = output->Now();
   request->near_domain = MostCommonDomain(request->progress.FinalResults());
   request->fetched_bytes = request->progress.FinalBytes();
   StartAttempt(request);
@@ -121,8 +121,8 @@
 // for it.
 void Gateway::Impl::RestartStages(ServingRequest* request,
                                   std::string_view why) {
-  desk->Free(request->progress.TakeAll());
-  desk->Drop(request->call.id);
+  dispatcher->Free(request->progress.TakeAll());
+  dispatcher->Drop(request->call.id);
   if (++request->restarts > kMaxStageRestarts) {
     Refuse(
         request,
@@ -131,7 +131,7 @@
     return;
   }
   request->progress.Restart();
-  const DurationUs left = request->first_response_by - ports->Now();
+  const DurationUs left = request->first_response_by - output->Now();
   if (request->progress.TimeLeft() + kEngineFirstEventTime > left) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
                      StrCat("not enough time to run the stages again: ", why)});
@@ -142,7 +142,7 @@
       {{"id", request->call.id},
        {"why", why},
        {"stages_ms", request->stage_times},
-       {"after_ms", (ports->Now() - request->received_at) / kMillisecond}});
+       {"after_ms", (output->Now() - request->received_at) / kMillisecond}});
   request->stages_done = false;
   RunStages(request);
 }
--- a/src/coordination/gateway/attempt_budget.h
+++ b/src/coordination/gateway/service_retry_budget.h
@@ -9,8 +9,8 @@
 // of both parts stays unused as a reserve, because a gateway that restarts
 // loses its count of retries and because the number of gateways known here may
 // be wrong.
-#ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_ATTEMPT_BUDGET_H_
-#define ACACIACHUTE_SRC_COORDINATION_GATEWAY_ATTEMPT_BUDGET_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_SERVICE_RETRY_BUDGET_H_
+#define ACACIACHUTE_SRC_COORDINATION_GATEWAY_SERVICE_RETRY_BUDGET_H_
 
 #include <algorithm>
 #include <deque>
@@ -20,16 +20,16 @@
 
 namespace acaciachute {
 
-class AttemptBudget {
+class ServiceRetryBudget {
  public:
   // Share of the computed allowance that this gateway uses; the remainder is
   // the reserve described above.
   static constexpr double kUsableShare = 0.5;
 
-  void SetLimits(const AttemptBudgetLimits& limits) { limits_ = limits; }
+  void SetLimits(const ServiceRetryBudgetLimits& limits) { limits_ = limits; }
   // Number of gateways, as known here, that share the fixed allowance. Includes
   // this gateway.
-  void SetEntries(std::size_t n) {
+  void SetGatewayCount(std::size_t n) {
     gateway_count_ = std::max<std::size_t>(1, n);
   }
 
@@ -75,7 +75,7 @@
     return sum;
   }
 
-  AttemptBudgetLimits limits_;
+  ServiceRetryBudgetLimits limits_;
   std::size_t gateway_count_ = 1;
   std::deque<Bucket> requests_;
   std::deque<Bucket> retries_;
@@ -83,4 +83,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_GATEWAY_ATTEMPT_BUDGET_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_GATEWAY_SERVICE_RETRY_BUDGET_H_
--- a/tests/gateway/cold_limit_test.cc
+++ b/tests/gateway/cold_replica_limiter_test.cc
@@ -1,6 +1,6 @@
 // Tests of the request rate of cold replicas, for one gateway and for many with
 // different views.
-#include "coordination/choice/cold_limit.h"
+#include "coordination/choice/cold_replica_limiter.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -36,9 +36,9 @@
   return entry;
 }
 
-std::unique_ptr<ColdLimit> LimitOf(const NodeId& node,
-                                   std::vector<NodeId> gateways) {
-  auto limit = std::make_unique<ColdLimit>(node);
+std::unique_ptr<ColdReplicaLimiter> LimitOf(const NodeId& node,
+                                            std::vector<NodeId> gateways) {
+  auto limit = std::make_unique<ColdReplicaLimiter>(node);
   limit->SetBound({}, 1200 * kMillisecond);
   limit->SetServices(ConfigWithColdEngines());
   limit->SetGateways(std::move(gateways));
@@ -56,7 +56,9 @@
 
 // Sends as many requests as the limiter allows, at most 1,000; returns their
 // number.
-int SendAll(TimeUs now, ColdLimit* limit, const ReplicaEntry& replica) {
+int SendAll(TimeUs now,
+            ColdReplicaLimiter* limit,
+            const ReplicaEntry& replica) {
   int sent = 0;
   while (limit->Takes(now, replica) && sent < 1000) {
     limit->OnSent(replica);
@@ -118,18 +120,19 @@
 // The evacuation of a failure domain ends. Its replicas count as cold although
 // their rows, which are older, do not say so; afterwards the limit doubles in
 // steps.
-TEST(ColdReplicaLimiterTest, ADomainThatIsTakenBackWarmsUp) {
+TEST(ColdReplicaLimiterTest, ADomainWarmsUpAfterItsEvacuationEnded) {
   ReplicaEntry replica = ColdReplica(0);
-  replica.back_at = kSecond;
-  const TimeUs warm = replica.back_at + 3 * kSecond + 2400 * kMillisecond;
+  replica.evacuation_ended_at = kSecond;
+  const TimeUs warm =
+      replica.evacuation_ended_at + 3 * kSecond + 2400 * kMillisecond;
   const auto at = [&](TimeUs now) {
     return SendAll(now, LimitOf("g0", Names(14)).get(), replica);
   };
   EXPECT_EQ(at(kSecond), 2);
   EXPECT_EQ(at(warm - 1), 2);
   EXPECT_EQ(at(warm), 4);
-  EXPECT_EQ(at(warm + ColdLimit::kLimitDoublingPeriod), 8);
-  EXPECT_EQ(at(warm + ColdLimit::kWarmUpDuration), 1000);
+  EXPECT_EQ(at(warm + ColdReplicaLimiter::kLimitDoublingPeriod), 8);
+  EXPECT_EQ(at(warm + ColdReplicaLimiter::kWarmUpDuration), 1000);
 }
 
 TEST(ColdReplicaLimiterTest, LeavesServicesWithoutABoundAlone) {
@@ -178,7 +181,7 @@
   }
   EXPECT_EQ(rig.sent.size(), 12U);
   EXPECT_TRUE(rig.refused.empty());
-  rig.Pass(ColdLimit::kWarmUpDuration);
+  rig.Pass(ColdReplicaLimiter::kWarmUpDuration);
   EXPECT_EQ(rig.sent.size(), 20U);
 }
 
@@ -242,12 +245,12 @@
 
  private:
   struct Gateway {
-    std::unique_ptr<ColdLimit> limit;
+    std::unique_ptr<ColdReplicaLimiter> limit;
     std::set<NodeId> known;
     TimeUs settled_at = 0;
   };
   std::map<NodeId, Gateway> gateways_;
-  std::multimap<TimeUs, ColdLimit*> in_transit_;
+  std::multimap<TimeUs, ColdReplicaLimiter*> in_transit_;
   std::vector<TimeUs> arrivals_;
 };
 
--- a/tests/gateway/evacuation_test.cc
+++ b/tests/gateway/evacuation_test.cc
@@ -23,8 +23,8 @@
       core.OnEvacuated();
     }
   }
-  void TakeBack(const std::string& domain, std::uint64_t version) {
-    evacuations.OnTakenBack(now, {domain, version});
+  void EndEvacuation(const std::string& domain, std::uint64_t version) {
+    evacuations.OnEvacuationEnded(now, {domain, version});
   }
   std::set<std::string> ReplicasUsed(const std::string& route, int calls) {
     const std::size_t before = sent.size();
@@ -64,7 +64,7 @@
   const auto answered = rig.answered.size();
   rig.AnswerWith(*begun, GatewayRig::Head(), "body");
   EXPECT_EQ(rig.answered.size(), answered + 1);
-  rig.TakeBack("a", 6);
+  rig.EndEvacuation("a", 6);
   EXPECT_EQ(rig.ReplicasUsed("plain", 40).size(), 2U);
 }
 
@@ -125,7 +125,7 @@
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
   rig.AddReplica("r2", "app", "nowhere");
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
-  rig.TakeBack("nowhere", 5);
+  rig.EndEvacuation("nowhere", 5);
   EXPECT_EQ(rig.directory.Of("app").size(), 2U);
 }
 
@@ -137,9 +137,9 @@
   rig.Evacuate("a", 5);
   rig.Evacuate("a", 7);  // A newer version of the same order.
   EXPECT_TRUE(rig.directory.Of("app").empty());
-  rig.TakeBack("a", 6);
+  rig.EndEvacuation("a", 6);
   EXPECT_TRUE(rig.directory.Of("app").empty());
-  rig.TakeBack("a", 8);
+  rig.EndEvacuation("a", 8);
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
   rig.Evacuate("a", 7);
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
@@ -195,12 +195,12 @@
   rig.directory.Remove(rig.now, "maker-0");
   rig.AddReplica("m1", "maker", "a");
   PieceOutput output;
-  AttemptBudget budget;
+  ServiceRetryBudget budget;
   PieceBatcher batcher(&rig.directory, &budget, &output);
   batcher.SetService("maker",
                      *GatewayRig::Config(1)->FindService("maker")->batching);
   const auto make_task = [](const std::string& request) {
-    PieceOrder out;
+    PieceTask out;
     out.key = {request, 0, 0};
     out.service = "maker";
     out.near_domain = "a";
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -112,13 +112,13 @@
   struct Bare : GatewayRig {
     Gateway fresh{{}, this, this, &directory, &random, &metrics, &log};
   } rig;
-  ClientCall call;
+  ClientRequest call;
   call.id = "x";
   call.host = "h.example";
   call.target = "/none/";
   rig.fresh.OnCall(90, call);
   EXPECT_EQ(Info(rig.refused[90].reason).http_status, 503);
-  EXPECT_FALSE(rig.fresh.current());
+  EXPECT_FALSE(rig.fresh.can_check_keys());
 }
 
 TEST(GatewayTest, KnowsRoutesAndKeys) {
@@ -157,12 +157,12 @@
 TEST(GatewayTest, SendsClientsWhereKeysCanBeChecked) {
   GatewayRig rig;
   rig.Pass(10 * kSecond);
-  rig.core.SetAnotherIsCurrent(true);
+  rig.core.SetPeerCanCheckKeys(true);
   const ExchangeId cut = rig.Call("plain");
   EXPECT_EQ(rig.refused[cut].reason, Refusal::kNotCurrent);
   EXPECT_LE(rig.refused[cut].retry_after, 50 * kMillisecond);
   EXPECT_GT(rig.refused[cut].retry_after, 0);
-  rig.core.SetAnotherIsCurrent(false);
+  rig.core.SetPeerCanCheckKeys(false);
   // The client's deadline is ten seconds.
   const ExchangeId outage = rig.Call("plain");
   EXPECT_GE(rig.refused[outage].retry_after, 10 * kSecond / 6);
@@ -176,10 +176,10 @@
 TEST(GatewayTest, SharesTheConnectionsThatReplicasTake) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
-  rig.core.SetEntries(5);
+  rig.core.SetGatewayCount(5);
   rig.Call("plain");
   EXPECT_EQ(rig.sent.back().most_idle_connections, 7U);
-  rig.core.SetEntries(103);
+  rig.core.SetGatewayCount(103);
   rig.Call("plain");
   EXPECT_EQ(rig.sent.back().most_idle_connections, 0U);
 }
@@ -485,7 +485,7 @@
   const ExchangeId once = rig.Call("plain");
   const ExchangeId repeated = rig.Call("repeat");
   ReplicaEntry again = *rig.directory.Find({"r", 5});
-  again.id.life = 6;
+  again.id.incarnation = 6;
   rig.directory.Put(again);
   EXPECT_EQ(rig.refused[once].verdict, Verdict::kMayHaveRun);
   ASSERT_EQ(rig.sent.size(), 3U);
