--- a/src/coordination/membership/gateway_peers.cc
+++ b/src/coordination/membership/gateway_peers.cc
@@ -91,7 +91,7 @@
               {{"for_ms", (paused + kLongestTurn) / kMillisecond}});
   for (auto& [node, peer] : peers_) {
     if (peer.live) {
-      // A beat may have been read since this process goes on.
+      // A heartbeat may have been read since this process goes on.
       peer.heard_at = std::min(now, peer.heard_at + paused);
     }
   }
--- a/tests/gateway/gateway_rig.h
+++ b/tests/gateway/gateway_rig.h
@@ -157,7 +157,7 @@
     core.OnPiece({task.key, PieceOutcome::kMade, handle});
   }
 
-  // GatewayPorts:
+  // GatewayOutput:
   TimeUs Now() override { return now; }
   void Refuse(ExchangeId id, const LocalReply& answer) override {
     refused[id] = answer;
--- a/tests/gateway/shared_piece_dispatcher_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -194,7 +194,7 @@
 }
 
 // A gateway that refuses connections is not tried in a loop: pieces go to a
-// live one, and the dead one counts again only after a beat that was sent
+// live one, and the dead one counts again only after a heartbeat that was sent
 // later.
 TEST(SharedPieceDispatcherTest, DoesNotTryAnUnreachableGatewayAgainAtOnce) {
   DispatcherNet net(2);
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -107,7 +107,7 @@
   EXPECT_EQ(rig.got[0].known_after, -kSecond);
 }
 
-// A relay that fails in any way: the question goes to another one, and nothing
+// A relay that fails in any way: the request goes to another one, and nothing
 // that is known is lost or told to be lost.
 TEST(TableSourceTest, LeavesARelayThatFails) {
   SourceRig rig;
@@ -242,7 +242,7 @@
   EXPECT_EQ(rig.got.back().kind, TableAnswer::Kind::kRows);
   EXPECT_EQ(rig.got.back().version, 7U);
   EXPECT_TRUE(rig.log.Saw("table_late"));
-  // Nothing that comes after it is an answer to the same question.
+  // Nothing that comes after it is an answer to the same request.
   const std::size_t before = rig.got.size();
   rig.StoreAnswers(StoreRows(8));
   EXPECT_EQ(rig.got.size(), before);
