--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -195,8 +195,8 @@
   ServiceRetryBudget* RetryBudgetOf(const std::string& service);
   // Whether any configuration was received.
   bool configured() const;
-  // Whether requests can be served now: a configuration is known and, if its
-  // routes need API keys, was confirmed recently enough.
+  // Whether a configuration is known and, if its routes need API keys, was
+  // confirmed recently enough to check keys against it.
   bool can_check_keys() const;
   std::size_t in_progress() const;
 
--- a/tests/gateway/gateway_rig.h
+++ b/tests/gateway/gateway_rig.h
@@ -185,7 +185,7 @@
   void Cancel(CallId id) override { cancelled.push_back(id); }
   void SetReading(CallId id, bool reading) override { paused[id] = !reading; }
 
-  // PieceDesk:
+  // PieceDispatcher:
   void Submit(TimeUs, std::vector<PieceTask> list) override {
     tasks.insert(tasks.end(), list.begin(), list.end());
   }
