--- a/src/coordination/choice/engine_choice.cc
+++ b/src/coordination/choice/engine_choice.cc
@@ -190,8 +190,8 @@
   engines_.erase(replica);
 }
 
-void EngineChoice::SetOthers(const NodeId& from,
-                             const std::map<ReplicaId, EngineLoad>& loads) {
+void EngineChoice::SetPeerLoads(const NodeId& from,
+                                const std::map<ReplicaId, EngineLoad>& loads) {
   auto& reported = peer_loads_[from];
   for (const auto& [replica, load] : reported) {
     EngineLoad& sum = peer_load_sum_[replica];
--- a/src/coordination/choice/engine_choice.h
+++ b/src/coordination/choice/engine_choice.h
@@ -105,8 +105,8 @@
 
   // Sets the load that the gateway `from` causes at the engines, replacing its
   // previous report.
-  void SetOthers(const NodeId& from,
-                 const std::map<ReplicaId, EngineLoad>& loads);
+  void SetPeerLoads(const NodeId& from,
+                    const std::map<ReplicaId, EngineLoad>& loads);
   // Load of this gateway's own requests by engine.
   const std::map<ReplicaId, EngineLoad>& own() const { return own_loads_; }
 
--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -56,7 +56,7 @@
   bool may_repeat = false;
   // Maximum number of idle connections to the replica that stay open; unset:
   // the transport's own limit applies.
-  std::optional<std::size_t> most_idle_connections;
+  std::optional<std::size_t> max_idle_connections;
 };
 
 class GatewayOutput {
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -55,7 +55,7 @@
   attempt_request.inputs = request->progress.FinalResults();
   attempt_request.resume_after = request->resume_after;
   attempt_request.may_repeat = request->route->MayRepeat();
-  attempt_request.most_idle_connections = MaxIdleConnections(*request);
+  attempt_request.max_idle_connections = MaxIdleConnections(*request);
   if (IsEngine(*request)) {
     attempt_request.priority = request->priority;
     engines.OnSent(replica.id, request->ForEngine());
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -319,7 +319,7 @@
     options.most_idle = kFresh;
   }
   options.connect = std::min(kConnect, replicas.plan.Connect());
-  options.most_kept = attempt.most_idle_connections;
+  options.most_kept = attempt.max_idle_connections;
   return channels.Start(attempt.address, platform::WriteAttemptRequest(attempt),
                         options, this);
 }
--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -25,7 +25,7 @@
   next_peers_at = now + kPeersPeriod;
   peers.OnTick(now);
   for (const NodeId& peer : peers.TakeLost(now)) {
-    gateway->engines()->SetOthers(peer, {});
+    gateway->engines()->SetPeerLoads(peer, {});
     dispatcher.OnPeerLost(now, peer);
   }
   TellKnownGateways(now);
@@ -133,7 +133,7 @@
   for (const EngineWork& it : heartbeat->work) {
     loads[{it.replica, it.incarnation}] = {it.running, it.unread_tokens};
   }
-  gateway->engines()->SetOthers(from, loads);
+  gateway->engines()->SetPeerLoads(from, loads);
   dispatcher.OnPeerQueueWaits(heartbeat->waits);
 }
 
--- a/tests/gateway/choices_test.cc
+++ b/tests/gateway/choices_test.cc
@@ -81,14 +81,14 @@
   std::set<ReplicaId> used;
   for (int n = 0; n < 100; ++n) {
     EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
-    choice.SetOthers("other", {{home, {8, 90'000}}});
+    choice.SetPeerLoads("other", {{home, {8, 90'000}}});
     used.insert(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id);
   }
   ASSERT_EQ(used.size(), 1U);
   const ReplicaId second = *used.begin();
   EXPECT_NE(second, home);
   EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
-  choice.SetOthers("other", {{home, {8, 90'000}}, {second, {4, 30'000}}});
+  choice.SetPeerLoads("other", {{home, {8, 90'000}}, {second, {4, 30'000}}});
   EXPECT_NE(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id, second);
 }
 
@@ -103,7 +103,7 @@
   request.near_domain = "b";
   request.fetched_bytes = 7'500'000;
   EXPECT_EQ(choice.Choose(0, "s", request, {}, false)->domain, "b");
-  choice.SetOthers("other", {{"r1", {1, 60'000}}, {"r3", {1, 60'000}}});
+  choice.SetPeerLoads("other", {{"r1", {1, 60'000}}, {"r3", {1, 60'000}}});
   EXPECT_EQ(choice.Choose(0, "s", request, {}, false)->domain, "a");
 }
 
@@ -111,10 +111,10 @@
 TEST(EngineChoiceTest, CountsTheWorkOfOthers) {
   Fleet fleet(2);
   EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
-  choice.SetOthers("other", {{"r0", {5, 900000}}});
+  choice.SetPeerLoads("other", {{"r0", {5, 900000}}});
   const std::vector<PromptPart> prompt = {{"q", 1000}};
   EXPECT_EQ(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id, "r1");
-  choice.SetOthers("other", {{"r1", {5, 900000}}});
+  choice.SetPeerLoads("other", {{"r1", {5, 900000}}});
   EXPECT_EQ(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id, "r0");
 }
 
--- a/tests/gateway/gateway_rig.h
+++ b/tests/gateway/gateway_rig.h
@@ -25,7 +25,7 @@
     std::vector<std::string> inputs;
     std::optional<std::uint64_t> resume_after;
     bool may_repeat = false;
-    std::optional<std::size_t> most_idle_connections;
+    std::optional<std::size_t> max_idle_connections;
   };
 
   explicit GatewayRig(GatewayOptions options = {})
@@ -179,7 +179,7 @@
   CallId Send(const AttemptRequest& attempt) override {
     sent.push_back({++last_call, attempt.replica, attempt.time_left,
                     attempt.account, attempt.inputs, attempt.resume_after,
-                    attempt.may_repeat, attempt.most_idle_connections});
+                    attempt.may_repeat, attempt.max_idle_connections});
     return last_call;
   }
   void Cancel(CallId id) override { cancelled.push_back(id); }
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -178,10 +178,10 @@
   rig.AddReplica("r1", "app");
   rig.core.SetGatewayCount(5);
   rig.Call("plain");
-  EXPECT_EQ(rig.sent.back().most_idle_connections, 7U);
+  EXPECT_EQ(rig.sent.back().max_idle_connections, 7U);
   rig.core.SetGatewayCount(103);
   rig.Call("plain");
-  EXPECT_EQ(rig.sent.back().most_idle_connections, 0U);
+  EXPECT_EQ(rig.sent.back().max_idle_connections, 0U);
 }
 
 // A stale read must not replace the configuration by an older version.
