--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -8,8 +8,7 @@
 namespace acaciachute {
 namespace {
 
-// Each look goes over all gateways; a fifth of the shortest period of
-// heartbeats.
+// Each look goes over all gateways; a fifth of the shortest period of beats.
 constexpr DurationUs kPeersPeriod = GatewayPeers::kGatewayHeartbeatPeriod / 5;
 constexpr DurationUs kKnownPeriod = 250 * kMillisecond;
 // From reading the others' rows until all have heard of this gateway, some
@@ -26,7 +25,7 @@
   next_peers_at = now + kPeersPeriod;
   peers.OnTick(now);
   for (const NodeId& peer : peers.TakeLost(now)) {
-    gateway->engines()->SetOthers(peer, {});
+    gateway->engines()->SetPeerLoads(peer, {});
     dispatcher.OnPeerLost(now, peer);
   }
   TellKnownGateways(now);
@@ -134,7 +133,7 @@
   for (const EngineWork& it : heartbeat->work) {
     loads[{it.replica, it.incarnation}] = {it.running, it.unread_tokens};
   }
-  gateway->engines()->SetOthers(from, loads);
+  gateway->engines()->SetPeerLoads(from, loads);
   dispatcher.OnPeerQueueWaits(heartbeat->waits);
 }
 
--- a/tests/gateway/gateway_rig.h
+++ b/tests/gateway/gateway_rig.h
@@ -1,5 +1,5 @@
-// One `Gateway` core between a recording output, a hand-driven piece dispatcher
-// and a directory of replicas.
+// Test fixture: a `Gateway` whose output is recorded, with a replica directory
+// and a piece dispatcher that the test controls.
 #ifndef ACACIACHUTE_TESTS_GATEWAY_GATEWAY_RIG_H_
 #define ACACIACHUTE_TESTS_GATEWAY_GATEWAY_RIG_H_
 
@@ -25,7 +25,7 @@
     std::vector<std::string> inputs;
     std::optional<std::uint64_t> resume_after;
     bool may_repeat = false;
-    std::optional<std::size_t> most_idle_connections;
+    std::optional<std::size_t> max_idle_connections;
   };
 
   explicit GatewayRig(GatewayOptions options = {})
@@ -39,7 +39,7 @@
     Configure(1);
     core.OnConfirmed(now);
     core.SetKnownGateways({"g1"});
-    // Requests with stages are refused at once when nobody makes them.
+    // Requests with stages are refused unless the stage service has a replica.
     AddReplica("maker-0", "maker");
   }
 
@@ -123,6 +123,7 @@
     return id;
   }
 
+  // The head of an answer that the replica produced itself.
   static ReplicaHead Head(int status = 200) {
     ReplicaHead head;
     head.status = status;
@@ -138,16 +139,20 @@
     }
     core.OnReplicaEnd(call);
   }
+  // The head of an answer in which the replica states that it did not run the
+  // request.
   static ReplicaHead NotRun(int status = 503) {
     ReplicaHead head;
     head.status = status;
     head.not_run = true;
     return head;
   }
+  // Advances the clock and runs one tick.
   void Pass(DurationUs time) {
     now += time;
     core.OnTick();
   }
+  // Reports the piece as made, with its result stored under `handle`.
   void Made(const PieceTask& task, const std::string& handle) {
     core.OnPiece({task.key, PieceOutcome::kMade, handle});
   }
@@ -174,13 +179,13 @@
   CallId Send(const AttemptRequest& attempt) override {
     sent.push_back({++last_call, attempt.replica, attempt.time_left,
                     attempt.account, attempt.inputs, attempt.resume_after,
-                    attempt.may_repeat, attempt.most_idle_connections});
+                    attempt.may_repeat, attempt.max_idle_connections});
     return last_call;
   }
   void Cancel(CallId id) override { cancelled.push_back(id); }
   void SetReading(CallId id, bool reading) override { paused[id] = !reading; }
 
-  // PieceDesk:
+  // PieceDispatcher:
   void Submit(TimeUs, std::vector<PieceTask> list) override {
     tasks.insert(tasks.end(), list.begin(), list.end());
   }
@@ -206,7 +211,9 @@
   int last_host = 0;
   ExchangeId last_exchange = 0;
   CallId last_call = 0;
+  // Returned by `Unsent`.
   std::size_t unsent = 0;
+  // Returned by `ExpectedWait`.
   QueueWait wait;
   std::map<ExchangeId, LocalReply> refused;
   std::map<ExchangeId, std::pair<int, std::string>> answered;
