--- a/src/coordination/stages/fill_call.cc
+++ b/src/coordination/stages/fill_call.cc
@@ -7,36 +7,38 @@
 namespace acaciachute {
 namespace {
 
-auto OrderOf(const WaitingGroup& it) {
-  return std::tuple(it.standing, it.priority,
-                    it.near ? it.since - kNearLead : it.since);
+auto SortKey(const WaitingGroup& it) {
+  return std::tuple(it.dispatch_class, it.priority,
+                    it.inputs_near ? it.request_arrived_at - kNearAgeBonus
+                                   : it.request_arrived_at);
 }
 
 }  // namespace
 
 std::vector<std::size_t> FillCall(const std::vector<WaitingGroup>& groups,
-                                  const CallSpace& space) {
+                                  const CallCapacity& capacity) {
   std::vector<std::size_t> order(groups.size());
   std::iota(order.begin(), order.end(), 0);
   std::stable_sort(order.begin(), order.end(),
                    [&](std::size_t a, std::size_t b) {
-                     return OrderOf(groups[a]) < OrderOf(groups[b]);
+                     return SortKey(groups[a]) < SortKey(groups[b]);
                    });
   std::vector<std::size_t> taken;
   std::size_t pieces = 0;
-  std::uint64_t held = space.held;
+  std::uint64_t held_bytes = capacity.held_bytes;
   for (const std::size_t n : order) {
     const WaitingGroup& it = groups[n];
-    if (pieces >= space.most || pieces >= space.batch) {
+    if (pieces >= capacity.max_pieces || pieces >= capacity.call_pieces) {
       break;
     }
-    const bool whole = pieces + it.pieces <= space.batch;
-    if ((!whole && !taken.empty()) || held + it.bytes > it.room) {
+    const bool fits = pieces + it.pieces <= capacity.call_pieces;
+    if ((!fits && !taken.empty()) ||
+        held_bytes + it.result_bytes > it.memory_limit) {
       continue;
     }
     taken.push_back(n);
     pieces += it.pieces;
-    held += it.bytes;
+    held_bytes += it.result_bytes;
   }
   return taken;
 }
--- a/src/coordination/stages/fill_call.h
+++ b/src/coordination/stages/fill_call.h
@@ -1,16 +1,17 @@
-// Which of the waiting pieces go into one call.
+// Selects which of the waiting pieces go into one call.
 //
-// Load pattern: a call costs a fixed time and a little for each piece, so a
-// stage whose queue is long makes as much as its calls are full. Pieces of one
-// request and stage go together (see `PieceBatcher`). Taken in order until the
-// next group does not fit, calls stay a third empty beside a long queue, which
-// then outlives its burst. Here a group that does not fit is passed over and
-// smaller ones fill the call.
+// A call has a fixed cost and a small cost per piece, so the throughput of a
+// stage with a long queue depends on how full its calls are. Pieces of one
+// request and stage go together (see `PieceBatcher`). If groups were taken in
+// order only until the next one does not fit, calls would stay a third empty
+// beside a long queue, and the queue would outlast its burst. Here a group that
+// does not fit is skipped and smaller groups fill the call.
 //
-// Load pattern: each piece of a request reads all results of the stage before,
-// and results that cross failure domains are paid for and lengthen the call.
-// With many waiting, a replica has enough pieces in its own domain to choose
-// from: being near counts as `kNearLead` of waiting, within one priority.
+// Each piece of a request reads all results of the preceding stages. Results
+// that cross failure domains cost transfer fees and lengthen the call. If many
+// pieces wait, a replica finds enough of them in its own domain: having its
+// inputs there counts for a group like `kNearAgeBonus` of additional waiting
+// time, within one priority.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_FILL_CALL_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_FILL_CALL_H_
 
@@ -21,31 +22,37 @@
 
 namespace acaciachute {
 
-// Pieces of one request and stage that wait, as one replica sees them.
+// Waiting pieces of one request and stage, as seen by one replica.
 struct WaitingGroup {
-  std::uint32_t standing = 0;  // See `PieceBatcher::Standing`; least first.
+  // See `PieceBatcher::DispatchClass`; lowest first.
+  std::uint32_t dispatch_class = 0;
   std::uint32_t priority = 0;  // Zero is the most urgent.
-  TimeUs since = 0;            // When its request arrived.
+  TimeUs request_arrived_at = 0;
   std::size_t pieces = 0;
-  std::uint64_t bytes = 0;  // Of the results that have to fit together.
-  std::uint64_t room = 0;   // Memory that it may fill the replica up to.
-  bool near = true;         // Its inputs lie in the replica's failure domain.
+  // Memory for the results of all pieces that start together.
+  std::uint64_t result_bytes = 0;
+  // The group starts only if the replica's results then occupy no more than
+  // this.
+  std::uint64_t memory_limit = 0;
+  bool inputs_near = true;  // Its inputs are in the replica's failure domain.
 };
 
-struct CallSpace {
-  std::size_t most = 0;    // Pieces that are this replica's share.
-  std::size_t batch = 0;   // Pieces that a call takes.
-  std::uint64_t held = 0;  // Memory that is taken at the replica.
+struct CallCapacity {
+  std::size_t max_pieces = 0;    // This replica's share of the waiting pieces.
+  std::size_t call_pieces = 0;   // Pieces that fit into a call.
+  std::uint64_t held_bytes = 0;  // Result memory in use at the replica.
 };
 
-// About one call of a stage: as long as a near replica is waited for when there
-// is time.
-inline constexpr DurationUs kNearLead = 300 * kMillisecond;
+// How much older a group counts if its inputs are near. About the duration of
+// one call of a stage, and as long as a piece with time to spare waits for a
+// near replica.
+inline constexpr DurationUs kNearAgeBonus = 300 * kMillisecond;
 
-// Indices of the groups to take, in this order. The first is taken even when it
-// has more pieces than a call takes; the others only whole.
+// Returns the indices of the groups to take, in this order. The first group is
+// taken even if it has more pieces than a call holds; the others only if all
+// their pieces fit.
 std::vector<std::size_t> FillCall(const std::vector<WaitingGroup>& groups,
-                                  const CallSpace& space);
+                                  const CallCapacity& capacity);
 
 }  // namespace acaciachute
 
--- a/src/coordination/stages/local_piece_desk.cc
+++ b/src/coordination/stages/local_piece_desk.cc
@@ -28,18 +28,18 @@
 }
 
 void LocalPieceDesk::Submit(TimeUs now, std::vector<PieceOrder> orders) {
-  std::set<PieceBatcher*> touched;
+  std::set<PieceBatcher*> batchers_to_dispatch;
   for (PieceOrder& order : orders) {
     const auto it = batchers_.find(order.service);
     if (it == batchers_.end()) {
       output_->OnPiece({order.key, PieceOutcome::kNotMade, ""});
     } else {
       it->second->Add(now, std::move(order));
-      touched.insert(it->second.get());
+      batchers_to_dispatch.insert(it->second.get());
     }
   }
-  // Only after all of them, so that they share a call.
-  for (PieceBatcher* batcher : touched) {
+  // Dispatches only after all pieces were added, so that they can share a call.
+  for (PieceBatcher* batcher : batchers_to_dispatch) {
     batcher->Dispatch(now);
   }
 }
@@ -52,15 +52,15 @@
 
 void LocalPieceDesk::Free(const std::vector<std::string>& handles) {
   for (const auto& handle : handles) {
-    const ReplicaEntry* maker = directory_->MakerOf(handle);
-    if (maker != nullptr) {
-      FreeOf(maker->service, {handle});
+    const ReplicaEntry* producer = directory_->MakerOf(handle);
+    if (producer != nullptr) {
+      FreeForService(producer->service, {handle});
     }
   }
 }
 
-void LocalPieceDesk::FreeOf(const std::string& service,
-                            const std::vector<std::string>& handles) {
+void LocalPieceDesk::FreeForService(const std::string& service,
+                                    const std::vector<std::string>& handles) {
   if (const auto it = batchers_.find(service); it != batchers_.end()) {
     it->second->Free(handles);
   }
@@ -77,9 +77,9 @@
   return it == batchers_.end() ? PoolWait{} : it->second->ExpectedWait(now);
 }
 
-double LocalPieceDesk::MemoryHeld(const std::string& service) const {
+double LocalPieceDesk::MemoryShareInUse(const std::string& service) const {
   const auto it = batchers_.find(service);
-  return it == batchers_.end() ? 0 : it->second->MemoryHeld();
+  return it == batchers_.end() ? 0 : it->second->MemoryShareInUse();
 }
 
 void LocalPieceDesk::OnCallEnd(TimeUs now,
--- a/src/coordination/stages/local_piece_desk.h
+++ b/src/coordination/stages/local_piece_desk.h
@@ -1,4 +1,4 @@
-// Makes all pieces by this process's own batchers, one a service.
+// Runs all pieces through this process's own batchers, one per service.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DESK_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DESK_H_
 
@@ -20,17 +20,17 @@
                  PieceBatcherOutput* output,
                  BudgetOf budget_of);
 
-  // Services that are no longer listed keep their batcher until it is idle.
+  // A service that is no longer listed keeps its batcher.
   void SetServices(const ServingConfig& config);
 
   void Submit(TimeUs now, std::vector<PieceOrder> orders) override;
   void Drop(const std::string& request) override;
   void Free(const std::vector<std::string>& handles) override;
-  void FreeOf(const std::string& service,
-              const std::vector<std::string>& handles);
+  void FreeForService(const std::string& service,
+                      const std::vector<std::string>& handles);
   PoolWait ExpectedWait(TimeUs now, const std::string& service) const override;
-  // See `PieceBatcher::MemoryHeld`.
-  double MemoryHeld(const std::string& service) const;
+  // See `PieceBatcher::MemoryShareInUse`.
+  double MemoryShareInUse(const std::string& service) const;
 
   void OnCallEnd(TimeUs now,
                  const std::string& service,
@@ -42,7 +42,7 @@
   const std::map<std::string, std::unique_ptr<PieceBatcher>>& batchers() const {
     return batchers_;
   }
-  // Whether any piece waits or is being made.
+  // Whether no piece is queued or running.
   bool Idle() const;
 
  private:
--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -26,11 +26,11 @@
 PieceBatcher::PieceBatcher(const ReplicaDirectory* directory,
                            AttemptBudget* budget,
                            PieceBatcherOutput* output)
-    : makers_(directory), budget_(budget), output_(output) {}
+    : replicas_(directory), budget_(budget), output_(output) {}
 
 void PieceBatcher::SetService(const std::string& name,
                               const BatchLimits& limits) {
-  makers_.SetService(name, limits);
+  replicas_.SetService(name, limits);
   limits_ = limits;
 }
 
@@ -38,50 +38,55 @@
   const PieceKey key = order.key;
   const auto [it, inserted] = pieces_.try_emplace(key);
   if (!inserted) {
-    return;  // Sent twice, as after a lost connection: one making is enough.
+    // Duplicate submission, for example after a lost connection: the piece is
+    // queued or running already.
+    return;
   }
   budget_->OnRequest(now);
   Piece& piece = it->second;
   piece.deadline = now + order.time_left;
   piece.queued_at = now;
-  piece.begin_by = now + order.time_to_begin;
-  piece.yields = order.holds_bytes <= order.result_bytes;
+  piece.latest_start = now + order.time_to_begin;
+  piece.demote_when_late = order.holds_bytes <= order.result_bytes;
   piece.rank.priority = order.priority;
-  piece.rank.since = now - order.waited;
+  piece.rank.request_arrived_at = now - order.waited;
   piece.rank.key = key;
   piece.order = std::move(order);
   Enqueue(now, &piece);
 }
 
 void PieceBatcher::Enqueue(TimeUs now, Piece* piece) {
-  const bool late = piece->yields && now > piece->begin_by;
-  piece->rank.standing = piece->sibling_begun ? Standing::kBegun
-                         : late               ? Standing::kLate
-                                              : Standing::kInTime;
+  const bool late = piece->demote_when_late && now > piece->latest_start;
+  piece->rank.dispatch_class = piece->sibling_started
+                                   ? DispatchClass::kSiblingStarted
+                               : late ? DispatchClass::kLate
+                                      : DispatchClass::kOnTime;
   piece->queued = true;
   waiting_.insert(piece->rank);
 }
 
-// Failure: a request's pieces are begun in part, and the rest waits behind
-// other requests. Symptom: the results that were made fill the replicas'
-// memory, and nothing can be begun although replicas are free.
-void PieceBatcher::AdvanceSiblings(const PieceKey& key) {
+// If part of a request's pieces start and the others wait behind other
+// requests, the finished results fill the replicas' memory, and nothing can
+// start although replicas are free. So the remaining pieces move to the front
+// of the queue.
+void PieceBatcher::PrioritizeSiblings(const PieceKey& key) {
   for (auto it = pieces_.lower_bound(PieceKey{key.request, key.stage, 0});
        it != pieces_.end() && it->first.request == key.request &&
        it->first.stage == key.stage;
        ++it) {
     Piece& piece = it->second;
-    piece.sibling_begun = true;
-    if (piece.queued && piece.rank.standing != Standing::kBegun) {
+    piece.sibling_started = true;
+    if (piece.queued &&
+        piece.rank.dispatch_class != DispatchClass::kSiblingStarted) {
       waiting_.erase(piece.rank);
-      piece.rank.standing = Standing::kBegun;
+      piece.rank.dispatch_class = DispatchClass::kSiblingStarted;
       waiting_.insert(piece.rank);
     }
   }
 }
 
-std::uint64_t PieceBatcher::LateRoom() const {
-  return static_cast<std::uint64_t>(kLateRoom *
+std::uint64_t PieceBatcher::LateMemoryBytes() const {
+  return static_cast<std::uint64_t>(kLateMemoryShare *
                                     static_cast<double>(limits_.room_bytes));
 }
 
@@ -93,9 +98,9 @@
     }
     it = pieces_.erase(it);
   }
-  auto read = read_.lower_bound({request, 0});
-  while (read != read_.end() && read->first.first == request) {
-    read = read_.erase(read);
+  auto read = inputs_read_.lower_bound({request, 0});
+  while (read != inputs_read_.end() && read->first.first == request) {
+    read = inputs_read_.erase(read);
   }
 }
 
@@ -103,39 +108,39 @@
   if (waiting_.empty()) {
     return;
   }
-  const std::vector<const ReplicaEntry*> free = makers_.Free(now);
+  const std::vector<const ReplicaEntry*> free = replicas_.FreeReplicas(now);
   for (std::size_t n = 0; n < free.size() && !waiting_.empty(); ++n) {
-    if (!makers_.WorthIt(now, *free[n], waiting_.size())) {
+    if (!replicas_.ShouldUse(now, *free[n], waiting_.size())) {
       continue;
     }
     const std::size_t share =
         (waiting_.size() + free.size() - n - 1) / (free.size() - n);
-    StartOn(now, *free[n], std::max<std::size_t>(share, kWorthACall));
+    StartCallOn(now, *free[n], std::max<std::size_t>(share, kMinPiecesPerCall));
   }
 }
 
-DurationUs PieceBatcher::NearPatience(TimeUs now, const Piece& piece) {
-  const DurationUs slack = piece.begin_by - now;
-  return std::clamp(slack / 2, kNearPatience, kMostNearPatience);
+DurationUs PieceBatcher::NearDelay(TimeUs now, const Piece& piece) {
+  const DurationUs slack = piece.latest_start - now;
+  return std::clamp(slack / 2, kMinNearDelay, kMaxNearDelay);
 }
 
-bool PieceBatcher::NearEnough(TimeUs now,
-                              const Piece& piece,
-                              const std::string& domain) {
+bool PieceBatcher::MayRunInDomain(TimeUs now,
+                                  const Piece& piece,
+                                  const std::string& domain) {
   if (piece.order.near_domain.empty() || piece.order.near_domain == domain ||
-      now - piece.queued_at >= NearPatience(now, piece)) {
+      now - piece.queued_at >= NearDelay(now, piece)) {
     return true;
   }
-  const auto& replicas = makers_.All();
+  const auto& replicas = replicas_.All();
   return std::none_of(replicas.begin(), replicas.end(),
                       [&](const ReplicaEntry* it) {
                         return it->domain == piece.order.near_domain &&
-                               !makers_.IsShunned(now, it->id);
+                               !replicas_.InBackoff(now, it->id);
                       });
 }
 
-// Pieces of the same request and stage that wait.
-std::size_t PieceBatcher::QueuedOf(const PieceKey& key) const {
+// Number of waiting pieces of the same request and stage.
+std::size_t PieceBatcher::WaitingInStage(const PieceKey& key) const {
   std::size_t n = 0;
   for (auto it = pieces_.lower_bound(PieceKey{key.request, key.stage, 0});
        it != pieces_.end() && it->first.request == key.request &&
@@ -146,13 +151,14 @@
   return n;
 }
 
-// Memory for the results of the pieces that are begun together with this one:
-// those of its request and stage, unless they would fill a replica by
-// themselves.
-std::uint64_t PieceBatcher::BytesOfQueued(const Piece& piece) const {
-  const std::uint64_t one = piece.order.result_bytes;
-  const std::uint64_t all = QueuedOf(piece.order.key) * one;
-  return all <= limits_.room_bytes / 2 ? all : one;
+// Memory for the results of the pieces that start together with this one: those
+// of its request and stage, unless they would fill more than half of a
+// replica's memory.
+std::uint64_t PieceBatcher::GroupResultBytes(const Piece& piece) const {
+  const std::uint64_t piece_bytes = piece.order.result_bytes;
+  const std::uint64_t group_bytes =
+      WaitingInStage(piece.order.key) * piece_bytes;
+  return group_bytes <= limits_.room_bytes / 2 ? group_bytes : piece_bytes;
 }
 
 PieceBatcher::Rank PieceBatcher::LastOfGroup(const Rank& rank) {
@@ -161,75 +167,78 @@
   return last;
 }
 
-// Groups that may go to the replica now, in order of rank, until there is
-// enough to choose from.
-PieceBatcher::Groups PieceBatcher::GroupsFor(TimeUs now,
-                                             const ReplicaEntry& replica) {
+// Returns the groups that may run on the replica now, in order of rank, until
+// there are enough to choose from.
+PieceBatcher::Groups PieceBatcher::EligibleGroups(TimeUs now,
+                                                  const ReplicaEntry& replica) {
   Groups groups;
-  const std::uint64_t held = makers_.HeldBytes(replica.id);
-  std::uint64_t chosen = held;  // With all that fit beside one another.
-  std::size_t passed_over = 0;
+  const std::uint64_t held = replicas_.HeldBytes(replica.id);
+  // Result memory of the replica if all groups that fit together were started.
+  std::uint64_t held_if_started = held;
+  std::size_t skipped = 0;
   std::size_t pieces = 0;
   for (auto it = waiting_.begin(); it != waiting_.end() &&
-                                   passed_over < kLookAhead &&
-                                   pieces < kChoice * limits_.batch;) {
+                                   skipped < kMaxSkippedGroups &&
+                                   pieces < kCandidateCalls * limits_.batch;) {
     const Rank first = *it;
     const auto end = waiting_.upper_bound(LastOfGroup(first));
     const Piece& piece = pieces_.at(first.key);
     WaitingGroup group;
-    group.standing = static_cast<std::uint32_t>(first.standing);
+    group.dispatch_class = static_cast<std::uint32_t>(first.dispatch_class);
     group.priority = first.priority;
-    group.since = first.since;
-    group.bytes = BytesOfQueued(piece);
-    group.room =
-        first.standing == Standing::kLate ? LateRoom() : limits_.room_bytes;
-    group.near = piece.order.near_domain.empty() ||
-                 piece.order.near_domain == replica.domain;
+    group.request_arrived_at = first.request_arrived_at;
+    group.result_bytes = GroupResultBytes(piece);
+    group.memory_limit = first.dispatch_class == DispatchClass::kLate
+                             ? LateMemoryBytes()
+                             : limits_.room_bytes;
+    group.inputs_near = piece.order.near_domain.empty() ||
+                        piece.order.near_domain == replica.domain;
     group.pieces =
         static_cast<std::size_t>(std::count_if(it, end, [&](const Rank& rank) {
-          return !pieces_.at(rank.key).tried.contains(replica.id);
+          return !pieces_.at(rank.key).tried_replicas.contains(replica.id);
         }));
     it = end;
-    if (group.pieces == 0 || held + group.bytes > group.room ||
-        !NearEnough(now, piece, replica.domain)) {
-      ++passed_over;
+    if (group.pieces == 0 || held + group.result_bytes > group.memory_limit ||
+        !MayRunInDomain(now, piece, replica.domain)) {
+      ++skipped;
       continue;
     }
-    if (chosen + group.bytes <= group.room) {
-      chosen += group.bytes;
+    if (held_if_started + group.result_bytes <= group.memory_limit) {
+      held_if_started += group.result_bytes;
       pieces += group.pieces;
     } else {
-      ++passed_over;
+      ++skipped;
     }
-    groups.firsts.push_back(first);
-    groups.views.push_back(group);
+    groups.first_ranks.push_back(first);
+    groups.candidates.push_back(group);
   }
   return groups;
 }
 
 std::vector<PieceOrder> PieceBatcher::TakePieces(TimeUs now,
                                                  const ReplicaEntry& replica,
-                                                 std::size_t most) {
-  const Groups groups = GroupsFor(now, replica);
-  std::uint64_t held = makers_.HeldBytes(replica.id);
+                                                 std::size_t max_pieces) {
+  const Groups groups = EligibleGroups(now, replica);
+  std::uint64_t held = replicas_.HeldBytes(replica.id);
   std::vector<PieceOrder> taken;
   for (const std::size_t n :
-       FillCall(groups.views, {most, limits_.batch, held})) {
-    const Rank last = LastOfGroup(groups.firsts[n]);
-    for (auto it = waiting_.lower_bound(groups.firsts[n]);
+       FillCall(groups.candidates, {max_pieces, limits_.batch, held})) {
+    const Rank last = LastOfGroup(groups.first_ranks[n]);
+    for (auto it = waiting_.lower_bound(groups.first_ranks[n]);
          it != waiting_.end() && *it < last && taken.size() < limits_.batch;) {
       Piece& piece = pieces_.at(it->key);
-      const bool fits = held + piece.order.result_bytes <= groups.views[n].room;
-      if (!fits || piece.tried.contains(replica.id)) {
+      const bool has_memory =
+          held + piece.order.result_bytes <= groups.candidates[n].memory_limit;
+      if (!has_memory || piece.tried_replicas.contains(replica.id)) {
         ++it;
         continue;
       }
       held += piece.order.result_bytes;
-      makers_.Reserve(replica.id, piece.order.result_bytes);
+      replicas_.Reserve(replica.id, piece.order.result_bytes);
       piece.queued = false;
       ++piece.calls;
-      ++piece.tries;
-      piece.tried.insert(replica.id);
+      ++piece.attempts;
+      piece.tried_replicas.insert(replica.id);
       piece.order.time_left = piece.deadline - now;
       taken.push_back(piece.order);
       it = waiting_.erase(it);
@@ -238,59 +247,60 @@
   return taken;
 }
 
-void PieceBatcher::StartOn(TimeUs now,
-                           const ReplicaEntry& replica,
-                           std::size_t most) {
+void PieceBatcher::StartCallOn(TimeUs now,
+                               const ReplicaEntry& replica,
+                               std::size_t max_pieces) {
   Call call;
-  call.call.pieces = TakePieces(now, replica, most);
+  call.call.pieces = TakePieces(now, replica, max_pieces);
   if (call.call.pieces.empty()) {
     return;
   }
   call.started = now;
-  call.call.slowness = makers_.Slowness(now, replica.id);
+  call.call.slowness = replicas_.Slowness(now, replica.id);
   call.expected =
-      makers_.OnCallStarted(now, replica.id, call.call.pieces.size());
+      replicas_.OnCallStarted(now, replica.id, call.call.pieces.size());
   call.call.id = next_id_++;
   call.call.replica = replica.id;
   call.call.address = replica.address;
-  call.call.expected = makers_.CallTime(1, call.call.pieces.size());
+  call.call.expected = replicas_.CallTime(1, call.call.pieces.size());
   call.call.left_waiting = waiting_.size();
-  call.call.held_bytes = makers_.HeldBytes(replica.id);
+  call.call.held_bytes = replicas_.HeldBytes(replica.id);
   for (const PieceOrder& it : call.call.pieces) {
-    AdvanceSiblings(it.key);
+    PrioritizeSiblings(it.key);
   }
-  rate_.OnBegun(now, call.call.pieces.size(), !waiting_.empty());
+  queue_rate_.OnPiecesStarted(now, call.call.pieces.size(), !waiting_.empty());
   const BatchId id = call.call.id;
   calls_.emplace(id, std::move(call));
   output_->StartCall(calls_.at(id).call);
 }
 
 StageMakers::CallView PieceBatcher::ViewOf(const Call& call) {
-  StageMakers::CallView view{call.started, call.call.expected, 0, call.copied};
+  StageMakers::CallView view{call.started, call.call.expected, 0,
+                             call.requeued};
   for (const PieceOrder& it : call.call.pieces) {
-    view.bytes += it.result_bytes;
+    view.result_bytes += it.result_bytes;
   }
   return view;
 }
 
 void PieceBatcher::Free(const std::vector<std::string>& handles) {
   for (const auto& handle : handles) {
-    const auto maker =
+    const auto producer =
         ParseAddress(std::string_view(handle).substr(0, handle.find('/')));
-    if (!maker) {
-      continue;  // None was made.
+    if (!producer) {
+      continue;  // No result was produced.
     }
-    // Also those that another gateway's batcher had made before.
-    frees_[*maker].push_back(handle);
-    makers_.Forget(handle);
+    // Includes results that were produced for another gateway's batcher.
+    pending_releases_[*producer].push_back(handle);
+    replicas_.RemoveResult(handle);
   }
 }
 
-// Replicas in an emptied failure domain are sent nothing: what lies there ends
-// by itself.
-void PieceBatcher::SendFrees() {
-  for (const auto& [address, handles] : std::exchange(frees_, {})) {
-    if (!makers_.InEvacuatedDomain(handles.front())) {
+// Replicas in an evacuated failure domain are not contacted: their results
+// expire without a message.
+void PieceBatcher::SendReleases() {
+  for (const auto& [address, handles] : std::exchange(pending_releases_, {})) {
+    if (!replicas_.InEvacuatedDomain(handles.front())) {
       output_->FreeAt(address, handles);
     }
   }
@@ -299,15 +309,15 @@
 void PieceBatcher::OnCallEnd(TimeUs now, BatchId id, const PieceCallEnd& end) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) {
-    return;  // Given up before; what it made ends by itself.
+    return;  // The call has timed out; its results expire on the replica.
   }
   const Call call = std::move(it->second);
   calls_.erase(it);
-  makers_.OnCallEnded(now, call.call.replica, ViewOf(call), EndOf(end.kind));
+  replicas_.OnCallEnded(now, call.call.replica, ViewOf(call), EndOf(end.kind));
   if (end.kind == PieceCallEnd::Kind::kAnswered) {
-    EndLostBefore(now, call);
+    EndLostCallsBefore(now, call);
   } else if (end.kind == PieceCallEnd::Kind::kLost) {
-    HoldLost(now, call);
+    ReserveLostResults(now, call);
   }
   for (std::size_t n = 0; n < call.call.pieces.size(); ++n) {
     const PieceOrder& order = call.call.pieces[n];
@@ -317,9 +327,10 @@
     if (answered) {
       result = end.results[n];
       if (!result.handle.empty()) {
-        makers_.Hold(now, call.call.replica, result.handle, order.result_bytes);
+        replicas_.AddResult(now, call.call.replica, result.handle,
+                            order.result_bytes);
       } else if (result.outcome == PieceOutcome::kNoRoom) {
-        makers_.OnNoRoom(now, call.call.replica);
+        replicas_.OnOutOfMemory(now, call.call.replica);
       }
     }
     result.key = order.key;
@@ -328,25 +339,28 @@
   Dispatch(now);
 }
 
-void PieceBatcher::EndLostBefore(TimeUs now, const Call& answered) {
+void PieceBatcher::EndLostCallsBefore(TimeUs now, const Call& answered) {
   if (limits_.slots != 1) {
-    return;  // Calls that are worked on together end in any order.
+    return;  // Concurrent calls may end in any order.
   }
-  EndCallsWhere(
-      now, {PieceCallEnd::Kind::kLost, "a later call was answered", {}},
-      [&](const Call& call) {
-        return call.copied && call.call.replica == answered.call.replica &&
-               call.started < answered.started;
-      });
+  EndCallsWhere(now,
+                {PieceCallEnd::Kind::kLost,
+                 "no answer, although the replica answered a later call",
+                 {}},
+                [&](const Call& call) {
+                  return call.requeued &&
+                         call.call.replica == answered.call.replica &&
+                         call.started < answered.started;
+                });
 }
 
 void PieceBatcher::EndCallsWhere(
     TimeUs now,
     const PieceCallEnd& end,
-    const std::function<bool(const Call&)>& holds) {
+    const std::function<bool(const Call&)>& matches) {
   std::vector<BatchId> ended;
   for (const auto& [id, call] : calls_) {
-    if (holds(call)) {
+    if (matches(call)) {
       ended.push_back(id);
     }
   }
@@ -355,12 +369,13 @@
   }
 }
 
-// The results of a lost answer lie at their maker, under handles that nobody
-// knows, until it forgets them.
-void PieceBatcher::HoldLost(TimeUs now, const Call& call) {
-  // No handle that a replica gives begins like this.
+// The results of a lost answer occupy the replica's memory, under handles
+// unknown here, until the replica discards them.
+void PieceBatcher::ReserveLostResults(TimeUs now, const Call& call) {
+  // Replicas never issue a handle with this prefix.
   const std::string handle = "lost/" + std::to_string(call.call.id);
-  makers_.Hold(now, call.call.replica, handle, ViewOf(call).bytes);
+  replicas_.AddResult(now, call.call.replica, handle,
+                      ViewOf(call).result_bytes);
 }
 
 void PieceBatcher::EndPiece(TimeUs now,
@@ -368,12 +383,14 @@
                             const PieceResult& result) {
   const auto piece = pieces_.find(result.key);
   if (piece == pieces_.end()) {
-    Free({result.handle});  // Another copy was first, or nobody waits.
+    // Another call returned the piece first, or its request has ended.
+    Free({result.handle});
     return;
   }
   --piece->second.calls;
   if (result.outcome == PieceOutcome::kInputGone && piece->second.calls > 0) {
-    return;  // The first call has read them and may still make it.
+    // The first call has read the inputs and may still complete the piece.
+    return;
   }
   const bool final = result.outcome == PieceOutcome::kMade ||
                      result.outcome == PieceOutcome::kInputGone ||
@@ -381,11 +398,12 @@
   if (answered && final) {
     Finish(piece, result);
   } else {
-    Again(now, &piece->second, result.outcome);
+    RetryOrFinish(now, &piece->second, result.outcome);
   }
 }
 
-// The piece's request is told; a copy that waits or runs is for nobody now.
+// Delivers the result to the request. Copies of the piece that still wait are
+// removed, and results of those that run will be released.
 void PieceBatcher::Finish(std::map<PieceKey, Piece>::iterator it,
                           const PieceResult& result) {
   if (it->second.queued) {
@@ -395,37 +413,38 @@
   output_->OnPiece(result);
 }
 
-// Where no replica is left that a piece was not tried at, all may be tried
-// again.
-void PieceBatcher::ForgetTriedIfAll(Piece* piece) const {
-  const auto& replicas = makers_.All();
+// Once a piece was tried on all replicas, all may be tried again.
+void PieceBatcher::ResetTriedReplicas(Piece* piece) const {
+  const auto& replicas = replicas_.All();
   const bool untried_left = std::any_of(
       replicas.begin(), replicas.end(),
-      [&](const auto* it) { return !piece->tried.contains(it->id); });
+      [&](const auto* it) { return !piece->tried_replicas.contains(it->id); });
   if (!untried_left) {
-    piece->tried.clear();
+    piece->tried_replicas.clear();
   }
 }
 
-void PieceBatcher::Again(TimeUs now, Piece* piece, PieceOutcome outcome) {
+void PieceBatcher::RetryOrFinish(TimeUs now,
+                                 Piece* piece,
+                                 PieceOutcome outcome) {
   if (piece->calls > 0) {
-    return;  // Another copy is on its way.
+    return;  // Another call with this piece is in progress.
   }
-  ForgetTriedIfAll(piece);
+  ResetTriedReplicas(piece);
   if (piece->queued) {
     return;
   }
   const PieceKey key = piece->order.key;
-  if (LetGoOfInputs(*piece)) {
+  if (InputsReleased(*piece)) {
     Finish(pieces_.find(key), {key, PieceOutcome::kInputGone, ""});
     return;
   }
   if (piece->inputs_read) {
-    // Its next call has to read them again before they may be let go.
+    // The next call has to read the inputs again before they may be released.
     piece->inputs_read = false;
-    --read_.at({key.request, key.stage});
+    --inputs_read_.at({key.request, key.stage});
   }
-  if (piece->tries < kMostTries && now < piece->deadline &&
+  if (piece->attempts < kMaxCallsPerPiece && now < piece->deadline &&
       budget_->Take(now)) {
     Enqueue(now, piece);
     return;
@@ -434,26 +453,25 @@
 }
 
 void PieceBatcher::OnReplicaGone(TimeUs now, const ReplicaId& replica) {
-  makers_.OnGone(replica);
+  replicas_.OnReplicaRemoved(replica);
   Dispatch(now);
 }
 
 void PieceBatcher::OnReplicaRestarted(TimeUs now, const ReplicaId& replica) {
-  EndCallsWhere(now,
-                {PieceCallEnd::Kind::kBroken, "the replica started again", {}},
+  EndCallsWhere(now, {PieceCallEnd::Kind::kBroken, "the replica restarted", {}},
                 [&](const Call& call) { return call.call.replica == replica; });
   OnReplicaGone(now, replica);
 }
 
 void PieceBatcher::ExpireWaiting(TimeUs now) {
-  std::vector<PieceKey> over;
+  std::vector<PieceKey> expired;
   std::vector<PieceKey> late;
   for (const Rank& it : waiting_) {
     const Piece& piece = pieces_.at(it.key);
     if (now >= piece.deadline) {
-      over.push_back(it.key);
-    } else if (it.standing == Standing::kInTime && piece.yields &&
-               now > piece.begin_by) {
+      expired.push_back(it.key);
+    } else if (it.dispatch_class == DispatchClass::kOnTime &&
+               piece.demote_when_late && now > piece.latest_start) {
       late.push_back(it.key);
     }
   }
@@ -462,34 +480,35 @@
     waiting_.erase(piece.rank);
     Enqueue(now, &piece);
   }
-  for (const auto& key : over) {
-    // Whoever was told of the one before may have dropped this one.
+  for (const auto& key : expired) {
+    // The handler of the previous result may have dropped this piece.
     if (const auto it = pieces_.find(key); it != pieces_.end()) {
       Finish(it, {key, PieceOutcome::kLate, ""});
     }
   }
 }
 
-void PieceBatcher::WatchCalls(TimeUs now) {
-  const auto read_after =
-      static_cast<DurationUs>(kInputsRead * static_cast<double>(limits_.call));
+void PieceBatcher::CheckCalls(TimeUs now) {
+  const auto read_after = static_cast<DurationUs>(
+      kInputsReadShare * static_cast<double>(limits_.call));
   for (auto& [id, call] : calls_) {
     const DurationUs age = now - call.started;
     if (!call.inputs_read && age >= read_after) {
       call.inputs_read = true;
-      NoteInputsRead(call);
+      MarkInputsRead(call);
     }
-    const auto overdue =
-        static_cast<DurationUs>(kOverdue * static_cast<double>(call.expected));
-    if (!call.copied && age >= overdue + kOverdueSlack) {
-      CopyOverdue(now, &call);
+    const auto overdue = static_cast<DurationUs>(
+        kOverdueFactor * static_cast<double>(call.expected));
+    if (!call.requeued && age >= overdue + kOverdueMargin) {
+      RequeueOverdue(now, &call);
     }
   }
-  EndCallsWhere(now, {PieceCallEnd::Kind::kBroken, "no answer", {}},
-                [&](const Call& call) { return now - call.started > kGiveUp; });
+  EndCallsWhere(
+      now, {PieceCallEnd::Kind::kBroken, "no answer within 4 s", {}},
+      [&](const Call& call) { return now - call.started > kCallTimeout; });
 }
 
-void PieceBatcher::NoteInputsRead(const Call& call) {
+void PieceBatcher::MarkInputsRead(const Call& call) {
   std::vector<std::string> unneeded;
   for (const PieceOrder& it : call.call.pieces) {
     const auto piece = pieces_.find(it.key);
@@ -498,7 +517,7 @@
       continue;
     }
     piece->second.inputs_read = true;
-    if (++read_[{it.key.request, it.key.stage}] == it.sole_users) {
+    if (++inputs_read_[{it.key.request, it.key.stage}] == it.sole_users) {
       unneeded.insert(unneeded.end(), it.inputs.begin(), it.inputs.end());
     }
   }
@@ -507,90 +526,93 @@
   }
 }
 
-bool PieceBatcher::LetGoOfInputs(const Piece& piece) const {
+bool PieceBatcher::InputsReleased(const Piece& piece) const {
   const PieceOrder& order = piece.order;
-  const auto it = read_.find({order.key.request, order.key.stage});
-  return it != read_.end() && it->second >= order.sole_users;
+  const auto it = inputs_read_.find({order.key.request, order.key.stage});
+  return it != inputs_read_.end() && it->second >= order.sole_users;
 }
 
-void PieceBatcher::CopyOverdue(TimeUs now, Call* call) {
-  call->copied = true;
-  makers_.OnCallOverdue(now, call->call.replica, ViewOf(*call));
+void PieceBatcher::RequeueOverdue(TimeUs now, Call* call) {
+  call->requeued = true;
+  replicas_.OnCallOverdue(now, call->call.replica, ViewOf(*call));
   for (const auto& order : call->call.pieces) {
     const auto it = pieces_.find(order.key);
     if (it != pieces_.end() && !it->second.queued && it->second.calls == 1 &&
-        it->second.tries < kMostTries && !LetGoOfInputs(it->second) &&
-        budget_->Take(now)) {
+        it->second.attempts < kMaxCallsPerPiece &&
+        !InputsReleased(it->second) && budget_->Take(now)) {
       Enqueue(now, &it->second);
     }
   }
 }
 
 void PieceBatcher::OnTick(TimeUs now) {
-  WatchCalls(now);
-  if (now >= next_upkeep_) {
-    next_upkeep_ = now + kUpkeep;
+  CheckCalls(now);
+  if (now >= next_expiry_scan_) {
+    next_expiry_scan_ = now + kExpiryScanPeriod;
     ExpireWaiting(now);
-    makers_.ForgetLapsed(now);
+    replicas_.RemoveExpiredResults(now);
   }
-  SendFrees();
+  SendReleases();
   Dispatch(now);
 }
 
-// Pieces that a call takes when many wait: half of a replica's memory is held
-// by results that wait for their next stage.
-std::size_t PieceBatcher::UsualBatch() const {
-  std::uint64_t bytes = 0;
+// Expected number of pieces per call when many wait: half of a replica's memory
+// is occupied by results that wait for their next stage.
+std::size_t PieceBatcher::ExpectedBatchSize() const {
+  std::uint64_t result_bytes = 0;
   for (const auto& [id, call] : calls_) {
-    bytes = std::max(bytes, call.call.pieces.front().result_bytes);
+    result_bytes =
+        std::max(result_bytes, call.call.pieces.front().result_bytes);
   }
-  if (bytes == 0) {
+  if (result_bytes == 0) {
     return limits_.batch;
   }
-  const std::uint64_t fit = limits_.room_bytes / (2 * bytes);
+  const std::uint64_t fit = limits_.room_bytes / (2 * result_bytes);
   return std::clamp<std::size_t>(fit, 1, limits_.batch);
 }
 
-PieceBatcher::Pace PieceBatcher::PaceOf(TimeUs now) const {
-  const auto [makers, first_free] = makers_.WhenFree(now, kGiveUp);
-  if (makers == 0) {
+PieceBatcher::Pace PieceBatcher::CurrentPace(TimeUs now) const {
+  const auto [replicas, first_free] =
+      replicas_.NextAvailability(now, kCallTimeout);
+  if (replicas == 0) {
     return {};
   }
-  const std::size_t batch = UsualBatch();
+  const std::size_t batch = ExpectedBatchSize();
   Pace pace{true, first_free,
-            static_cast<double>(makers_.CallTime(1, batch)) /
-                static_cast<double>(makers * batch)};
-  pace.each = std::max(pace.each, rate_.Each(now).value_or(0));
+            static_cast<double>(replicas_.CallTime(1, batch)) /
+                static_cast<double>(replicas * batch)};
+  pace.time_per_piece =
+      std::max(pace.time_per_piece, queue_rate_.TimePerPiece(now).value_or(0));
   return pace;
 }
 
-// Until a piece behind `ahead` others is begun.
+// Time until a piece behind `ahead` others starts.
 DurationUs PieceBatcher::WaitBehind(const Pace& pace, std::size_t ahead) {
-  if (!pace.any) {
-    return kGiveUp;
+  if (!pace.has_replica) {
+    return kCallTimeout;
   }
-  return pace.first_free +
-         static_cast<DurationUs>(static_cast<double>(ahead) * pace.each);
+  return pace.first_free + static_cast<DurationUs>(static_cast<double>(ahead) *
+                                                   pace.time_per_piece);
 }
 
 PoolWait PieceBatcher::ExpectedWait(TimeUs now) const {
   std::array<std::size_t, PoolWait::kRanks> ahead{};
   for (const Rank& it : waiting_) {
-    const std::size_t first = it.standing == Standing::kBegun ? 0
-                              : it.standing == Standing::kLate
-                                  ? PoolWait::kRanks
-                                  : it.priority;
+    const std::size_t first =
+        it.dispatch_class == DispatchClass::kSiblingStarted ? 0
+        : it.dispatch_class == DispatchClass::kLate         ? PoolWait::kRanks
+                                                            : it.priority;
     for (std::size_t n = first; n < PoolWait::kRanks; ++n) {
       ++ahead[n];
     }
   }
-  const Pace pace = PaceOf(now);
+  const Pace pace = CurrentPace(now);
   PoolWait wait;
   for (std::size_t n = 0; n < PoolWait::kRanks; ++n) {
     wait.in_time[n] = WaitBehind(pace, ahead[n]);
   }
   wait.late = WaitBehind(pace, waiting_.size());
-  wait.memory = makers_.MemoryHeld();
+  wait.memory = replicas_.MemoryShareInUse();
   return wait;
 }
 
--- a/src/coordination/stages/piece_batcher.h
+++ b/src/coordination/stages/piece_batcher.h
@@ -1,26 +1,27 @@
 // Batches the pieces of all requests into calls to one service's replicas.
 //
-// Load pattern: a call costs a fixed time and a little for each piece, and a
-// replica runs one call at a time. Sent one by one, or batched by each gateway
-// on its own, pieces fill calls badly, and calls queue behind those of other
-// gateways. One batcher that sees every waiting piece fills the
-// next free replica with the most urgent ones, so that a piece waits for the
-// replica that is free first and not for its gateway's own.
+// A call has a fixed cost and a small cost per piece, and a replica runs one
+// call at a time. If pieces are sent one by one, or are batched by each gateway
+// separately, calls are poorly filled and queue behind those of other gateways.
+// One batcher that sees all waiting pieces fills the next free replica with the
+// most urgent ones, so a piece waits for the first free replica and not for one
+// assigned to its gateway.
 //
-// Pieces of one request and stage go in one call where one can take them. Split
-// over two, the first half's results hold memory until the second is made.
+// Pieces of one request and stage go into one call if they fit. If they were
+// split over two calls, the results of the first would occupy memory until the
+// second is done.
 //
-// A replica that answers slower than configured is given work only when it
-// would still finish before the others could. A call that takes more than
-// `kOverdue` times as long as expected is not waited for alone: its pieces are
-// made again elsewhere, within a budget, and the first result counts.
+// A replica that is slower than configured gets work only if it would still
+// finish before the others. If a call takes more than `kOverdueFactor` times
+// its expected duration, its pieces also run on another replica, within a retry
+// budget, and the first result is used.
 //
-// Failure: a replica does its work and its answer is lost. Symptom: it is taken
-// to be at work until the call is given up, and stands idle beside a full
-// queue. An overdue call no longer counts as one that keeps its replica
-// busy, so the replica is tried with another call when that is worth it. A
-// replica that does one call at a time and answers the later one has done the
-// earlier: its answer will not come, and its pieces are made again at once.
+// A replica may finish a call whose answer is then lost. It would count as busy
+// until the call times out, and would stay idle beside a full queue. An overdue
+// call therefore no longer counts against its replica's slots, and the replica
+// gets another call if that would be useful. If a replica that runs one call at
+// a time answers the later call, it has finished the earlier one too: that
+// answer will not arrive, and the pieces are queued again at once.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_BATCHER_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_BATCHER_H_
 
@@ -51,10 +52,11 @@
   ReplicaId replica;
   Address address;
   std::vector<PieceOrder> pieces;
-  DurationUs expected = 0;
-  // What decided its size, for logs.
-  std::size_t left_waiting = 0;
-  std::uint64_t held_bytes = 0;  // At the replica, with these pieces' results.
+  DurationUs expected = 0;  // By a replica of normal speed.
+  // The following fields explain the size and duration of the call in the log.
+  std::size_t left_waiting = 0;  // Pieces that remain in the queue.
+  // Result memory in use at the replica, including these pieces' results.
+  std::uint64_t held_bytes = 0;
   double slowness = 1;
 };
 
@@ -62,13 +64,13 @@
 struct PieceCallEnd {
   enum class Kind {
     kAnswered,
-    kRefused,    // The replica's word that it ran nothing.
-    kUnreached,  // No byte of the call left.
-    kBroken,     // No answer; the pieces may have been made.
-    kLost,       // The replica did its work and the answer never came.
+    kRefused,    // The replica reported that it ran nothing.
+    kUnreached,  // No byte of the call was sent.
+    kBroken,     // No answer; the pieces may have run.
+    kLost,       // The replica finished the call, but its answer was lost.
   };
   Kind kind = Kind::kBroken;
-  std::string why;                   // When not answered.
+  std::string why;                   // Reason if `kind` is not `kAnswered`.
   std::vector<PieceResult> results;  // In the order of the pieces.
 };
 
@@ -77,51 +79,58 @@
   virtual ~PieceBatcherOutput() = default;
   virtual void StartCall(const PieceCall& call) = 0;
   virtual void OnPiece(const PieceResult& result) = 0;
-  // Tells `replica` that it may forget these results.
+  // Tells `replica` to release these results.
   virtual void FreeAt(const Address& replica,
                       const std::vector<std::string>& handles) = 0;
-  // Every piece that needs these results is being made and has read them.
+  // All pieces that need these results are running and have read them.
   virtual void OnInputsRead(const std::vector<std::string>& handles) = 0;
-  // Whether the makers of these results are short of memory for others.
+  // Whether the replicas that hold these results are short of memory for
+  // others.
   virtual bool ShortOfMemory(const std::vector<std::string>& handles) = 0;
 };
 
 class PieceBatcher {
  public:
-  // A call this much over its expected time is made again elsewhere. Calls vary
-  // by a few percent; slow replicas take three times as long and more.
-  static constexpr double kOverdue = 1.8;
-  static constexpr DurationUs kOverdueSlack = 100 * kMillisecond;
-  // A call is given up after this, so that a silent replica frees its slot.
-  static constexpr DurationUs kGiveUp = 4 * kSecond;
-  // With several replicas free, a call takes at least this many pieces before
-  // the next replica is used: below it the fixed cost is most of a call.
-  static constexpr std::uint32_t kWorthACall = 4;
-  // Of a replica's memory that results of late requests may fill up to: what
-  // comes next may still be on time.
-  static constexpr double kLateRoom = 0.6;
-  // How long a piece waits for a replica in its own failure domain while others
-  // are free, because its inputs or its result would cross domains: half of the
-  // time that its request has to spare, within these bounds.
-  static constexpr DurationUs kNearPatience = 80 * kMillisecond;
-  static constexpr DurationUs kMostNearPatience = 300 * kMillisecond;
-  // Load pattern: in a burst, results fill the memory of their makers, some of
-  // them only because the next stage is at work on them. A call reads its
-  // inputs before its work; after this share of the fixed part of a call they
-  // are let go. The price: when a piece of that call fails then, its request's
-  // stages begin again. So they are let go only where memory is short.
-  static constexpr double kInputsRead = 0.4;
-  // Load pattern: many pieces wait for memory, and each replica that has a
-  // little of it looks at all of them, again and again. This many requests or
-  // pieces are passed over for one call.
-  static constexpr std::size_t kLookAhead = 64;
-  // Calls' worth of pieces among which one call's are chosen: enough that a
-  // replica finds a call of its own among four failure domains' pieces.
-  static constexpr std::size_t kChoice = 4;
-  // How often waiting pieces and results are looked through for their end.
-  static constexpr DurationUs kUpkeep = 50 * kMillisecond;
-  // Makings of one piece.
-  static constexpr std::uint32_t kMostTries = 4;
+  // A call that takes longer than this multiple of its expected duration, plus
+  // `kOverdueMargin`, is overdue. Calls vary by a few percent; slow replicas
+  // take three times as long and more.
+  static constexpr double kOverdueFactor = 1.8;
+  static constexpr DurationUs kOverdueMargin = 100 * kMillisecond;
+  // Time limit of a call, after which the slot of an unresponsive replica is
+  // free again.
+  static constexpr DurationUs kCallTimeout = 4 * kSecond;
+  // If several replicas are free, a call takes at least this many pieces before
+  // the next replica is used: with fewer, the fixed cost dominates the call.
+  static constexpr std::uint32_t kMinPiecesPerCall = 4;
+  // Share of a replica's result memory up to which pieces of late requests may
+  // fill it. The remainder is kept for requests that can still meet their
+  // deadlines.
+  static constexpr double kLateMemoryShare = 0.6;
+  // Bounds of the time that a piece waits for a replica in its own failure
+  // domain while others are free, because its inputs or its result would cross
+  // domains. Within them, it waits for half of the time that its request has to
+  // spare.
+  static constexpr DurationUs kMinNearDelay = 80 * kMillisecond;
+  static constexpr DurationUs kMaxNearDelay = 300 * kMillisecond;
+  // Share of the fixed part of a call after which the call is taken to have
+  // read its inputs. In a burst, results fill the memory of their replicas,
+  // some only because the next stage is working on them, so inputs are released
+  // at that point. If a piece of that call then fails, the stages of its
+  // request have to start again; therefore inputs are released early only where
+  // memory is short.
+  static constexpr double kInputsReadShare = 0.4;
+  // Number of groups, each of one request and stage, that are skipped for one
+  // call. While many pieces wait for memory, each replica with a little free
+  // memory would otherwise scan all of them repeatedly.
+  static constexpr std::size_t kMaxSkippedGroups = 64;
+  // Number of full calls' worth of pieces from which the pieces of one call are
+  // chosen: enough that a replica finds a full call among the pieces of four
+  // failure domains.
+  static constexpr std::size_t kCandidateCalls = 4;
+  // Period of the scan for expired waiting pieces and results.
+  static constexpr DurationUs kExpiryScanPeriod = 50 * kMillisecond;
+  // Limit on the calls that one piece takes part in.
+  static constexpr std::uint32_t kMaxCallsPerPiece = 4;
 
   PieceBatcher(const ReplicaDirectory* directory,
                AttemptBudget* budget,
@@ -130,43 +139,46 @@
   void SetService(const std::string& name, const BatchLimits& limits);
 
   void Add(TimeUs now, PieceOrder order);
-  // Begins what can be begun; due after pieces were added.
+  // Starts the calls that can be started. Must be called after pieces were
+  // added.
   void Dispatch(TimeUs now);
-  // Nobody waits for the request's pieces any longer.
+  // Cancels the request's pieces.
   void Drop(const std::string& request);
-  // Results that nobody needs any longer; told to their makers with the next
-  // tick, those of one maker together.
+  // Releases results that no request needs any longer. The replicas are
+  // notified at the next tick, each with one message.
   void Free(const std::vector<std::string>& handles);
   void OnCallEnd(TimeUs now, BatchId id, const PieceCallEnd& end);
   void OnReplicaGone(TimeUs now, const ReplicaId& replica);
-  // That life of the replica is over: what it was asked for is made elsewhere
-  // at once, instead of when the calls are overdue.
+  // The replica's previous incarnation has ended: its pieces are queued again
+  // at once, instead of when their calls become overdue.
   void OnReplicaRestarted(TimeUs now, const ReplicaId& replica);
-  // Calls what is due; call it every 10 ms and after other changes.
+  // Handles everything that has become due. Call it every 10 ms and after other
+  // changes.
   void OnTick(TimeUs now);
 
   bool Idle() const { return pieces_.empty() && calls_.empty(); }
   std::size_t waiting() const { return waiting_.size(); }
   PoolWait ExpectedWait(TimeUs now) const;
-  // Share of the replicas' memory for results that is held.
-  double MemoryHeld() const { return makers_.MemoryHeld(); }
+  // Share of the replicas' result memory that is in use.
+  double MemoryShareInUse() const { return replicas_.MemoryShareInUse(); }
 
  private:
-  // Where a piece stands, first to last.
-  enum class Standing : std::uint32_t {
-    // Others of its request and stage were begun: their results hold memory
-    // until this one is made too.
-    kBegun,
-    kInTime,
-    // Its request cannot be on time, and it holds no more memory than it asks
-    // for.
+  // Primary sort key of the queue, first to last.
+  enum class DispatchClass : std::uint32_t {
+    // Other pieces of its request and stage were started; their results occupy
+    // memory until this piece is done too.
+    kSiblingStarted,
+    kOnTime,
+    // Its request can no longer meet its deadline, and the results it holds
+    // take no more memory than this piece's result.
     kLate,
   };
-  // The order in which pieces are taken.
+  // Sort key of the queue; the lowest rank is taken first.
   struct Rank {
-    Standing standing = Standing::kInTime;
+    DispatchClass dispatch_class = DispatchClass::kOnTime;
     std::uint32_t priority = 0;
-    TimeUs since = 0;  // When its request arrived here.
+    // At the request's own gateway, on this host's clock.
+    TimeUs request_arrived_at = 0;
     PieceKey key;
     auto operator<=>(const Rank&) const = default;
   };
@@ -174,90 +186,101 @@
     PieceOrder order;
     TimeUs deadline = 0;
     TimeUs queued_at = 0;
-    TimeUs begin_by = 0;  // Later its request cannot be on time.
-    bool yields = true;   // Whether being late puts it last.
-    bool sibling_begun = false;
+    // If the piece starts later, its request misses its deadline.
+    TimeUs latest_start = 0;
+    bool demote_when_late = true;  // Whether a late piece is moved to `kLate`.
+    bool sibling_started = false;
     bool inputs_read = false;
     Rank rank;
     bool queued = false;
-    std::uint32_t calls = 0;  // That carry it now.
-    std::uint32_t tries = 0;
-    std::set<ReplicaId> tried;
+    std::uint32_t calls = 0;  // Calls in progress that contain this piece.
+    std::uint32_t attempts = 0;
+    std::set<ReplicaId> tried_replicas;
   };
   struct Call {
     PieceCall call;
     TimeUs started = 0;
-    DurationUs expected = 0;
-    bool copied = false;  // Overdue: its pieces were queued again.
+    DurationUs expected = 0;  // By this replica, given its slowness.
+    // The call is overdue, and its pieces were considered for requeuing.
+    bool requeued = false;
     bool inputs_read = false;
   };
-  // How fast the queue moves.
+  // Speed of the queue, from which waits are predicted.
   struct Pace {
-    bool any = false;           // Replica that takes calls.
-    DurationUs first_free = 0;  // Until the next call begins.
-    double each = 0;            // Microseconds a piece.
+    bool has_replica = false;   // Whether any replica takes calls.
+    DurationUs first_free = 0;  // Time until the next call starts.
+    double time_per_piece = 0;  // Microseconds per piece.
   };
-  Pace PaceOf(TimeUs now) const;
+  Pace CurrentPace(TimeUs now) const;
   static DurationUs WaitBehind(const Pace& pace, std::size_t ahead);
-  std::size_t UsualBatch() const;
-  void SendFrees();
-  // Whether the piece may go to a replica in `domain` now.
-  static DurationUs NearPatience(TimeUs now, const Piece& piece);
-  bool NearEnough(TimeUs now, const Piece& piece, const std::string& domain);
-  std::size_t QueuedOf(const PieceKey& key) const;
-  // Above all ranks of the same request, stage and standing.
+  std::size_t ExpectedBatchSize() const;
+  void SendReleases();
+  // How long the piece waits for a replica near its data.
+  static DurationUs NearDelay(TimeUs now, const Piece& piece);
+  bool MayRunInDomain(TimeUs now,
+                      const Piece& piece,
+                      const std::string& domain);
+  std::size_t WaitingInStage(const PieceKey& key) const;
+  // Returns a rank above all ranks of the same request, stage and dispatch
+  // class.
   static Rank LastOfGroup(const Rank& rank);
-  std::uint64_t BytesOfQueued(const Piece& piece) const;
-  // Pieces of one request, stage and standing each: the first of them in
-  // `waiting_`, and what decides whether they are taken.
+  std::uint64_t GroupResultBytes(const Piece& piece) const;
+  // Groups of pieces of one request, stage and dispatch class: the rank of the
+  // first piece of each in `waiting_`, and the properties that decide whether
+  // the group is taken.
   struct Groups {
-    std::vector<Rank> firsts;
-    std::vector<WaitingGroup> views;
+    std::vector<Rank> first_ranks;
+    std::vector<WaitingGroup> candidates;
   };
-  Groups GroupsFor(TimeUs now, const ReplicaEntry& replica);
-  // Takes the pieces of a call to `replica` off the queue, `most` and what
-  // completes their requests; their results count as held there.
+  Groups EligibleGroups(TimeUs now, const ReplicaEntry& replica);
+  // Removes the pieces of a call to `replica` from the queue: up to
+  // `max_pieces`, and more if that completes the group of a request. Their
+  // results are counted as occupying the replica's memory.
   std::vector<PieceOrder> TakePieces(TimeUs now,
                                      const ReplicaEntry& replica,
-                                     std::size_t most);
-  void StartOn(TimeUs now, const ReplicaEntry& replica, std::size_t most);
+                                     std::size_t max_pieces);
+  void StartCallOn(TimeUs now,
+                   const ReplicaEntry& replica,
+                   std::size_t max_pieces);
   void Enqueue(TimeUs now, Piece* piece);
-  void AdvanceSiblings(const PieceKey& key);
-  std::uint64_t LateRoom() const;
+  void PrioritizeSiblings(const PieceKey& key);
+  std::uint64_t LateMemoryBytes() const;
   void EndPiece(TimeUs now, bool answered, const PieceResult& result);
   void Finish(std::map<PieceKey, Piece>::iterator it,
               const PieceResult& result);
-  void ForgetTriedIfAll(Piece* piece) const;
-  void Again(TimeUs now, Piece* piece, PieceOutcome outcome);
+  void ResetTriedReplicas(Piece* piece) const;
+  void RetryOrFinish(TimeUs now, Piece* piece, PieceOutcome outcome);
   void ExpireWaiting(TimeUs now);
-  void WatchCalls(TimeUs now);
-  void CopyOverdue(TimeUs now, Call* call);
-  // Ends the overdue calls that `answered`, of the same replica, was started
-  // after.
-  void EndLostBefore(TimeUs now, const Call& answered);
-  // Ends all calls for which `holds` is true, in the same way.
+  void CheckCalls(TimeUs now);
+  void RequeueOverdue(TimeUs now, Call* call);
+  // Ends the overdue calls to the replica of `answered` that were started
+  // before it.
+  void EndLostCallsBefore(TimeUs now, const Call& answered);
+  // Ends all calls for which `matches` returns true, with the given `end`.
   void EndCallsWhere(TimeUs now,
                      const PieceCallEnd& end,
-                     const std::function<bool(const Call&)>& holds);
-  void HoldLost(TimeUs now, const Call& call);
+                     const std::function<bool(const Call&)>& matches);
+  void ReserveLostResults(TimeUs now, const Call& call);
   static StageMakers::CallView ViewOf(const Call& call);
-  void NoteInputsRead(const Call& call);
-  // Whether the piece's inputs may be gone, so that it can't be made again.
-  bool LetGoOfInputs(const Piece& piece) const;
+  void MarkInputsRead(const Call& call);
+  // Whether the piece's inputs may have been released, so that it cannot run
+  // again.
+  bool InputsReleased(const Piece& piece) const;
 
-  StageMakers makers_;
+  StageMakers replicas_;
   AttemptBudget* const budget_;
   PieceBatcherOutput* const output_;
   BatchLimits limits_;
   std::map<PieceKey, Piece> pieces_;
   std::set<Rank> waiting_;
-  // By request and stage: its pieces whose calls have read their inputs.
-  std::map<std::pair<std::string, std::uint32_t>, std::uint32_t> read_;
+  // By request and stage: the number of pieces whose calls have read their
+  // inputs.
+  std::map<std::pair<std::string, std::uint32_t>, std::uint32_t> inputs_read_;
   std::map<BatchId, Call> calls_;
-  std::map<Address, std::vector<std::string>> frees_;
+  std::map<Address, std::vector<std::string>> pending_releases_;
   BatchId next_id_ = 1;
-  TimeUs next_upkeep_ = 0;
-  QueueRate rate_;
+  TimeUs next_expiry_scan_ = 0;
+  QueueRate queue_rate_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/stages/piece_desk.h
+++ b/src/coordination/stages/piece_desk.h
@@ -1,4 +1,5 @@
-// Where requests hand in their pieces, whoever makes the calls for them.
+// Interface through which requests submit their pieces to the batching
+// services, whether this gateway or another one makes the calls.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_DESK_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_DESK_H_
 
@@ -15,9 +16,10 @@
   virtual ~PieceDesk() = default;
   // One result follows for each piece, unless its request is dropped.
   virtual void Submit(TimeUs now, std::vector<PieceOrder> orders) = 0;
-  // Due for every request that handed in any.
+  // Cancels the request's pieces. Must be called when a request that submitted
+  // pieces ends.
   virtual void Drop(const std::string& request) = 0;
-  // Results that nobody needs any longer.
+  // Releases results that no request needs any longer.
   virtual void Free(const std::vector<std::string>& handles) = 0;
   virtual PoolWait ExpectedWait(TimeUs now,
                                 const std::string& service) const = 0;
--- a/src/coordination/stages/queue_rate.cc
+++ b/src/coordination/stages/queue_rate.cc
@@ -4,32 +4,34 @@
 
 namespace acaciachute {
 
-void QueueRate::OnBegun(TimeUs now, std::size_t pieces, bool others) {
-  if (!others) {
-    since_.reset();
-    begun_.clear();
+void QueueRate::OnPiecesStarted(TimeUs now,
+                                std::size_t pieces,
+                                bool more_waiting) {
+  if (!more_waiting) {
+    waiting_since_.reset();
+    starts_.clear();
     return;
   }
-  since_ = since_.value_or(now);
-  begun_.push_back({now, pieces});
-  while (now - begun_.front().at > kWindow) {
-    begun_.pop_front();
+  waiting_since_ = waiting_since_.value_or(now);
+  starts_.push_back({now, pieces});
+  while (now - starts_.front().at > kRateWindow) {
+    starts_.pop_front();
   }
 }
 
-std::optional<double> QueueRate::Each(TimeUs now) const {
-  if (!since_) {
+std::optional<double> QueueRate::TimePerPiece(TimeUs now) const {
+  if (!waiting_since_) {
     return std::nullopt;
   }
-  const DurationUs span = std::min(now - *since_, kWindow);
-  if (span < kLeastWindow) {
+  const DurationUs span = std::min(now - *waiting_since_, kRateWindow);
+  if (span < kMinRateWindow) {
     return std::nullopt;
   }
-  std::size_t begun = 1;
-  for (const Begun& it : begun_) {
-    begun += now - it.at <= kWindow ? it.pieces : 0;
+  std::size_t started = 1;
+  for (const Start& it : starts_) {
+    started += now - it.at <= kRateWindow ? it.pieces : 0;
   }
-  return static_cast<double>(span) / static_cast<double>(begun);
+  return static_cast<double>(span) / static_cast<double>(started);
 }
 
 }  // namespace acaciachute
--- a/src/coordination/stages/queue_rate.h
+++ b/src/coordination/stages/queue_rate.h
@@ -1,8 +1,8 @@
-// How fast a queue of pieces was seen to move.
+// Measures how fast a queue of pieces moves.
 //
-// Load pattern: replicas wait for memory or for near pieces, so the queue moves
-// slower than their calls' times say. Counted are pieces that were begun while
-// others waited.
+// Replicas sometimes wait for free memory or for pieces whose inputs are near,
+// so a queue moves slower than the durations of its calls suggest. Only pieces
+// that were started while others were waiting are counted.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_QUEUE_RATE_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_QUEUE_RATE_H_
 
@@ -15,22 +15,25 @@
 
 class QueueRate {
  public:
-  static constexpr DurationUs kWindow = 2 * kSecond;
-  // The least of it that counts.
-  static constexpr DurationUs kLeastWindow = 600 * kMillisecond;
+  static constexpr DurationUs kRateWindow = 2 * kSecond;
+  // Shortest observation from which a rate is computed.
+  static constexpr DurationUs kMinRateWindow = 600 * kMillisecond;
 
-  // Pieces left the queue; `others` says whether any still wait.
-  void OnBegun(TimeUs now, std::size_t pieces, bool others);
-  // Microseconds a piece; none until the queue has been seen long enough.
-  std::optional<double> Each(TimeUs now) const;
+  // Records that pieces left the queue; `more_waiting` says whether others
+  // still wait.
+  void OnPiecesStarted(TimeUs now, std::size_t pieces, bool more_waiting);
+  // Microseconds per piece; empty until the queue has been observed for
+  // `kMinRateWindow`.
+  std::optional<double> TimePerPiece(TimeUs now) const;
 
  private:
-  struct Begun {
+  struct Start {
     TimeUs at = 0;
     std::size_t pieces = 0;
   };
-  std::deque<Begun> begun_;
-  std::optional<TimeUs> since_;  // None: nothing waits.
+  std::deque<Start> starts_;
+  // Since when pieces have been waiting; empty if none wait.
+  std::optional<TimeUs> waiting_since_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/stages/shared_piece_desk.cc
+++ b/src/coordination/stages/shared_piece_desk.cc
@@ -23,19 +23,19 @@
     Pending& pending = pending_[it.key];
     pending.order = it;
     pending.deadline = now + it.time_left;
-    pending.begin_by = now + it.time_to_begin;
-    pending.since = now - it.waited;
+    pending.latest_start = now + it.time_to_begin;
+    pending.request_arrived_at = now - it.waited;
   }
-  HandOver(now, std::move(orders));
+  SendToOwner(now, std::move(orders));
 }
 
-// All orders are of one request and for one service.
-void SharedPieceDesk::HandOver(TimeUs now, std::vector<PieceOrder> orders) {
+// All tasks belong to one request and one service.
+void SharedPieceDesk::SendToOwner(TimeUs now, std::vector<PieceOrder> orders) {
   const NodeId owner = peers_->OwnerOf(orders.front().service);
   for (const PieceOrder& it : orders) {
     Pending& pending = pending_[it.key];
     pending.owner = owner;
-    pending.handed_at = now;
+    pending.sent_at = now;
   }
   if (owner == self_) {
     local_->Submit(now, std::move(orders));
@@ -45,25 +45,25 @@
   }
 }
 
-void SharedPieceDesk::HandAgain(TimeUs now,
-                                const std::vector<PieceKey>& keys,
-                                const char* why) {
+void SharedPieceDesk::Resubmit(TimeUs now,
+                               const std::vector<PieceKey>& keys,
+                               const char* reason) {
   using Group = std::pair<std::string, std::string>;  // Request and service.
   std::map<Group, std::vector<PieceOrder>> groups;
   for (const PieceKey& key : keys) {
     Pending& pending = pending_.at(key);
     PieceOrder order = pending.order;
     order.time_left = pending.deadline - now;
-    order.time_to_begin = pending.begin_by - now;
-    order.waited = now - pending.since;
+    order.time_to_begin = pending.latest_start - now;
+    order.waited = now - pending.request_arrived_at;
     groups[{key.request, order.service}].push_back(std::move(order));
   }
   for (auto& [group, orders] : groups) {
     log_->Write("pieces_again", {{"id", group.first},
                                  {"service", group.second},
                                  {"pieces", orders.size()},
-                                 {"why", why}});
-    HandOver(now, std::move(orders));
+                                 {"why", reason}});
+    SendToOwner(now, std::move(orders));
   }
 }
 
@@ -82,22 +82,22 @@
   }
 }
 
-// The gateway that batches the maker's service keeps the account of the maker's
-// memory.
+// The gateway that batches the service of the producing replica keeps the
+// account of that replica's memory, so the release goes there.
 void SharedPieceDesk::Free(const std::vector<std::string>& handles) {
   std::map<std::string, std::vector<std::string>> by_service;
   for (const auto& handle : handles) {
-    const ReplicaEntry* maker = directory_->MakerOf(handle);
-    if (maker != nullptr) {
-      by_service[maker->service].push_back(handle);
+    const ReplicaEntry* producer = directory_->MakerOf(handle);
+    if (producer != nullptr) {
+      by_service[producer->service].push_back(handle);
     }
   }
-  for (auto& [service, list] : by_service) {
+  for (auto& [service, released] : by_service) {
     const NodeId& owner = peers_->OwnerOf(service);
     if (owner == self_) {
-      local_->FreeOf(service, list);
+      local_->FreeForService(service, released);
     } else {
-      output_->SendToPeer(owner, PieceFree{std::move(list)});
+      output_->SendToPeer(owner, PieceFree{std::move(released)});
     }
   }
 }
@@ -107,28 +107,29 @@
   if (peers_->OwnerOf(service) == self_) {
     return local_->ExpectedWait(now, service);
   }
-  const auto it = told_.find(service);
-  return it == told_.end() ? PoolWait{} : it->second;
+  const auto it = peer_waits_.find(service);
+  return it == peer_waits_.end() ? PoolWait{} : it->second;
 }
 
-double SharedPieceDesk::MemoryHeld(const std::string& service) const {
+double SharedPieceDesk::MemoryShareInUse(const std::string& service) const {
   if (peers_->OwnerOf(service) == self_) {
-    return local_->MemoryHeld(service);
+    return local_->MemoryShareInUse(service);
   }
-  const auto it = told_.find(service);
-  return it == told_.end() ? 0 : it->second.memory;
+  const auto it = peer_waits_.find(service);
+  return it == peer_waits_.end() ? 0 : it->second.memory;
 }
 
 bool SharedPieceDesk::ShortOfMemory(
     const std::vector<std::string>& handles) const {
   std::set<std::string> services;
   for (const auto& handle : handles) {
-    if (const ReplicaEntry* maker = directory_->MakerOf(handle)) {
-      services.insert(maker->service);
+    if (const ReplicaEntry* producer = directory_->MakerOf(handle)) {
+      services.insert(producer->service);
     }
   }
-  return std::any_of(services.begin(), services.end(),
-                     [&](const auto& it) { return MemoryHeld(it) > kShort; });
+  return std::any_of(services.begin(), services.end(), [&](const auto& it) {
+    return MemoryShareInUse(it) > kMemoryShortageShare;
+  });
 }
 
 std::vector<ServiceWait> SharedPieceDesk::OwnWaits(TimeUs now) const {
@@ -150,7 +151,7 @@
 
 void SharedPieceDesk::OnPeerWaits(const std::vector<ServiceWait>& waits) {
   for (const ServiceWait& it : waits) {
-    told_[it.service] = it.wait;
+    peer_waits_[it.service] = it.wait;
   }
 }
 
@@ -167,7 +168,8 @@
   if (pending_.erase(result.key) > 0) {
     output_->OnOwnPiece(result);
   } else if (!result.handle.empty()) {
-    Free({result.handle});  // Made twice, or nobody waits any longer.
+    // Second result of the piece, or its request has ended.
+    Free({result.handle});
   }
 }
 
@@ -211,7 +213,7 @@
       lost.push_back(key);
     }
   }
-  HandAgain(now, lost, "the gateway that batches is lost");
+  Resubmit(now, lost, "the batching gateway was lost");
 }
 
 void SharedPieceDesk::SendResults() {
@@ -224,13 +226,14 @@
   SendResults();
   std::vector<PieceKey> overdue;
   for (const auto& [key, pending] : pending_) {
-    const DurationUs beyond = now - pending.handed_at - kPatience;
+    const DurationUs beyond = now - pending.sent_at - kResultTimeout;
     if (pending.owner != self_ && beyond > 0 &&
         beyond > ExpectedWait(now, pending.order.service).late) {
       overdue.push_back(key);
     }
   }
-  HandAgain(now, overdue, "no result in time");
+  Resubmit(now, overdue,
+           "no result within 2.5 s beyond the expected queue wait");
 }
 
 }  // namespace acaciachute
--- a/src/coordination/stages/shared_piece_desk.h
+++ b/src/coordination/stages/shared_piece_desk.h
@@ -1,11 +1,12 @@
-// Hands pieces to the gateway that batches their service, be it this one.
+// Sends pieces to the gateway that batches their service, which may be this
+// one.
 //
-// Failure: that gateway dies, freezes, restarts or is cut off with pieces in
-// hand. Symptom: requests wait until their deadlines for pieces that nobody
-// makes. Orders are kept until their results are here, and handed to the next
-// gateway as soon as the first one is lost, or when no result came in
-// `kPatience`; a piece that is then made twice costs only its time, and the
-// second result is freed.
+// That gateway may crash, freeze, restart or be cut off while it has pieces in
+// progress; requests would then wait until their deadlines for results that
+// never come. Each task is therefore kept until its result arrives, and is
+// resubmitted to the current batching gateway as soon as the first one is lost,
+// or when no result came within `kResultTimeout`. A piece that runs twice costs
+// only its time; the second result is released.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DESK_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DESK_H_
 
@@ -25,15 +26,16 @@
  public:
   virtual ~SharedPieceDeskOutput() = default;
   virtual void SendToPeer(const NodeId& peer, const Message& message) = 0;
-  // A result for this gateway's own request.
+  // Delivers a result of a request that this gateway handles itself.
   virtual void OnOwnPiece(const PieceResult& result) = 0;
 };
 
 class SharedPieceDesk : public PieceDesk {
  public:
-  // Several calls' time: a piece that waits this much longer than the queue at
-  // the other gateway, as it last told, is more likely lost than late.
-  static constexpr DurationUs kPatience = 2500 * kMillisecond;
+  // How long a result may take beyond the queue wait that the batching gateway
+  // last reported. It covers several calls, so a piece that is later than that
+  // is more likely lost than slow.
+  static constexpr DurationUs kResultTimeout = 2500 * kMillisecond;
 
   SharedPieceDesk(NodeId self,
                   const GatewayPeers* peers,
@@ -47,29 +49,31 @@
   void Free(const std::vector<std::string>& handles) override;
   PoolWait ExpectedWait(TimeUs now, const std::string& service) const override;
 
-  // Whether the service that made these results holds more than `kShort` of its
-  // memory for results.
+  // Whether one of the services that produced these results uses more than
+  // `kMemoryShortageShare` of its memory for results.
   bool ShortOfMemory(const std::vector<std::string>& handles) const;
-  // Below it each replica has room for as much again as it holds.
-  static constexpr double kShort = 0.5;
+  // Share of the result memory in use from which memory counts as short. Below
+  // it each replica can take as many results again as it holds.
+  static constexpr double kMemoryShortageShare = 0.5;
 
-  // A piece that this gateway's batchers made, or could not make.
+  // Result of a piece that this gateway's batchers ran or failed to run.
   void OnLocalPiece(const PieceResult& result);
   void OnPeerOrders(TimeUs now, const NodeId& from, const PieceOrders& orders);
   void OnPeerDrop(const PieceDrop& drop);
   void OnPeerFree(const PieceFree& free);
   void OnPeerResults(const PieceResults& results);
-  // What the batching gateways tell of their queues, and what this one does.
+  // Queue waits as reported by the batching gateways, and those of the services
+  // that this gateway batches.
   void OnPeerWaits(const std::vector<ServiceWait>& waits);
   std::vector<ServiceWait> OwnWaits(TimeUs now) const;
   // Whether this gateway batches any service.
   bool Batches() const;
   void OnPeerLost(TimeUs now, const NodeId& peer);
   void OnTick(TimeUs now);
-  // Sends results to the gateways that asked; call it after each local call's
-  // end, so that they do not wait for the next tick at every stage.
+  // Sends results to the gateways that submitted the pieces. Call it after each
+  // local call ends, so that no stage waits for the next tick.
   void SendResults();
-  // Whether no piece of other gateways' requests is in hand.
+  // Whether no piece of another gateway's request is in progress here.
   bool ServesNobody() const { return requesters_.empty(); }
 
  private:
@@ -77,16 +81,16 @@
     PieceOrder order;
     NodeId owner;
     TimeUs deadline = 0;
-    TimeUs begin_by = 0;
-    TimeUs since = 0;
-    TimeUs handed_at = 0;
+    TimeUs latest_start = 0;
+    TimeUs request_arrived_at = 0;
+    TimeUs sent_at = 0;
   };
 
-  double MemoryHeld(const std::string& service) const;
-  void HandOver(TimeUs now, std::vector<PieceOrder> orders);
-  void HandAgain(TimeUs now,
-                 const std::vector<PieceKey>& keys,
-                 const char* why);
+  double MemoryShareInUse(const std::string& service) const;
+  void SendToOwner(TimeUs now, std::vector<PieceOrder> orders);
+  void Resubmit(TimeUs now,
+                const std::vector<PieceKey>& keys,
+                const char* reason);
   void OnOwnResult(const PieceResult& result);
 
   const NodeId self_;
@@ -96,11 +100,14 @@
   SharedPieceDeskOutput* const output_;
   EventLog* const log_;
   std::map<PieceKey, Pending> pending_;
-  // Other gateways that were handed pieces of one of this one's requests.
+  // By request of this gateway: the other gateways that received pieces of it.
   std::map<std::string, std::set<NodeId>> owners_;
-  std::map<std::string, NodeId> requesters_;  // Of other gateways' requests.
-  std::map<std::string, PoolWait> told_;
-  std::map<NodeId, std::vector<PieceResult>> results_;  // To be sent.
+  // Requests of other gateways with pieces in progress here, and the gateway
+  // that sent each.
+  std::map<std::string, NodeId> requesters_;
+  std::map<std::string, PoolWait> peer_waits_;
+  // By receiver, not sent yet.
+  std::map<NodeId, std::vector<PieceResult>> results_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/stages/stage_makers.cc
+++ b/src/coordination/stages/stage_makers.cc
@@ -12,41 +12,43 @@
   limits_ = limits;
 }
 
-double StageMakers::SlownessOf(TimeUs now, const Maker& maker) {
-  const double age = static_cast<double>(now - maker.measured_at) /
-                     static_cast<double>(kForget);
-  return 1 + (maker.slowness - 1) * std::exp(-std::max(0.0, age));
+double StageMakers::SlownessOf(TimeUs now, const ReplicaState& state) {
+  const double age_in_decay_times =
+      static_cast<double>(now - state.measured_at) /
+      static_cast<double>(kSlownessDecayTime);
+  return 1 +
+         (state.slowness - 1) * std::exp(-std::max(0.0, age_in_decay_times));
 }
 
-const StageMakers::Maker* StageMakers::Find(const ReplicaId& id) const {
-  const auto it = makers_.find(id);
-  return it == makers_.end() ? nullptr : &it->second;
+const StageMakers::ReplicaState* StageMakers::Find(const ReplicaId& id) const {
+  const auto it = states_.find(id);
+  return it == states_.end() ? nullptr : &it->second;
 }
 
 double StageMakers::Slowness(TimeUs now, const ReplicaId& id) const {
-  const Maker* maker = Find(id);
-  return maker == nullptr ? 1 : SlownessOf(now, *maker);
+  const ReplicaState* state = Find(id);
+  return state == nullptr ? 1 : SlownessOf(now, *state);
 }
 
 DurationUs StageMakers::CallTime(double slowness, std::size_t pieces) const {
-  const auto plain =
+  const auto normal =
       static_cast<double>(limits_.call) +
       static_cast<double>(limits_.piece) * static_cast<double>(pieces);
-  return static_cast<DurationUs>(slowness * plain);
+  return static_cast<DurationUs>(slowness * normal);
 }
 
 bool StageMakers::InEvacuatedDomain(const std::string& handle) const {
-  const ReplicaEntry* maker = directory_->MakerOf(handle);
-  return maker != nullptr && directory_->IsEvacuated(maker->domain);
+  const ReplicaEntry* producer = directory_->MakerOf(handle);
+  return producer != nullptr && directory_->IsEvacuated(producer->domain);
 }
 
-std::vector<const ReplicaEntry*> StageMakers::Free(TimeUs now) {
+std::vector<const ReplicaEntry*> StageMakers::FreeReplicas(TimeUs now) {
   std::vector<std::pair<double, const ReplicaEntry*>> found;
   for (const ReplicaEntry* it : All()) {
-    const Maker& maker = makers_[it->id];
-    if (maker.calls < limits_.slots && maker.overdue <= limits_.queue &&
-        now >= maker.shunned_until && now >= maker.full_until) {
-      found.emplace_back(SlownessOf(now, maker), it);
+    const ReplicaState& state = states_[it->id];
+    if (state.calls < limits_.slots && state.overdue <= limits_.queue &&
+        now >= state.backoff_until && now >= state.out_of_memory_until) {
+      found.emplace_back(SlownessOf(now, state), it);
     }
   }
   std::sort(found.begin(), found.end(),
@@ -59,53 +61,55 @@
   return free;
 }
 
-bool StageMakers::WorthIt(TimeUs now,
-                          const ReplicaEntry& replica,
-                          std::size_t waiting) {
-  const double own = Slowness(now, replica.id);
-  if (own < kSound) {
+bool StageMakers::ShouldUse(TimeUs now,
+                            const ReplicaEntry& replica,
+                            std::size_t waiting) {
+  const double slowness = Slowness(now, replica.id);
+  if (slowness < kSlowThreshold) {
     return true;
   }
-  std::size_t sound = 0;
+  std::size_t normal_replicas = 0;
   DurationUs first_free = 0;
   for (const ReplicaEntry* it : All()) {
-    const Maker& maker = makers_[it->id];
-    if (it->id == replica.id || now < maker.shunned_until ||
-        SlownessOf(now, maker) >= kSound) {
+    const ReplicaState& state = states_[it->id];
+    if (it->id == replica.id || now < state.backoff_until ||
+        SlownessOf(now, state) >= kSlowThreshold) {
       continue;
     }
-    const DurationUs wait = maker.calls < limits_.slots
+    const DurationUs wait = state.calls < limits_.slots
                                 ? 0
-                                : std::max<DurationUs>(0, maker.free_at - now);
-    first_free = sound == 0 ? wait : std::min(first_free, wait);
-    ++sound;
+                                : std::max<DurationUs>(0, state.free_at - now);
+    first_free = normal_replicas == 0 ? wait : std::min(first_free, wait);
+    ++normal_replicas;
   }
-  if (sound == 0) {
+  if (normal_replicas == 0) {
     return true;
   }
-  const std::size_t rounds = waiting / (sound * limits_.batch) + 1;
-  const DurationUs others =
+  const std::size_t rounds = waiting / (normal_replicas * limits_.batch) + 1;
+  const DurationUs others_done =
       first_free + static_cast<DurationUs>(rounds) * CallTime(1, limits_.batch);
-  return CallTime(own, std::min<std::size_t>(waiting, limits_.batch)) < others;
+  return CallTime(slowness, std::min<std::size_t>(waiting, limits_.batch)) <
+         others_done;
 }
 
-bool StageMakers::IsShunned(TimeUs now, const ReplicaId& id) const {
-  const Maker* maker = Find(id);
-  return maker != nullptr && now < maker->shunned_until;
+bool StageMakers::InBackoff(TimeUs now, const ReplicaId& id) const {
+  const ReplicaState* state = Find(id);
+  return state != nullptr && now < state->backoff_until;
 }
 
-StageMakers::FirstFree StageMakers::WhenFree(TimeUs now,
-                                             DurationUs most) const {
-  FirstFree first{0, most};
+StageMakers::Availability StageMakers::NextAvailability(
+    TimeUs now,
+    DurationUs max_wait) const {
+  Availability first{0, max_wait};
   for (const ReplicaEntry* it : All()) {
-    if (IsShunned(now, it->id)) {
+    if (InBackoff(now, it->id)) {
       continue;
     }
     ++first.replicas;
-    const Maker* maker = Find(it->id);
-    const bool busy = maker != nullptr && maker->calls >= limits_.slots;
+    const ReplicaState* state = Find(it->id);
+    const bool busy = state != nullptr && state->calls >= limits_.slots;
     first.wait = std::min(
-        first.wait, busy ? std::max<DurationUs>(0, maker->free_at - now) : 0);
+        first.wait, busy ? std::max<DurationUs>(0, state->free_at - now) : 0);
   }
   return first;
 }
@@ -113,106 +117,107 @@
 DurationUs StageMakers::OnCallStarted(TimeUs now,
                                       const ReplicaId& id,
                                       std::size_t pieces) {
-  Maker& maker = makers_[id];
-  ++maker.calls;
-  const DurationUs takes = CallTime(SlownessOf(now, maker), pieces);
-  maker.free_at = now + takes;
+  ReplicaState& state = states_[id];
+  ++state.calls;
+  const DurationUs takes = CallTime(SlownessOf(now, state), pieces);
+  state.free_at = now + takes;
   return takes;
 }
 
 void StageMakers::OnCallOverdue(TimeUs now,
                                 const ReplicaId& id,
                                 const CallView& call) {
-  Maker& maker = makers_[id];
-  if (maker.calls > 0) {
-    --maker.calls;
-    ++maker.overdue;
+  ReplicaState& state = states_[id];
+  if (state.calls > 0) {
+    --state.calls;
+    ++state.overdue;
   }
-  maker.slowness =
-      std::max(maker.slowness, static_cast<double>(now - call.started) /
+  state.slowness =
+      std::max(state.slowness, static_cast<double>(now - call.started) /
                                    static_cast<double>(call.expected));
-  maker.measured_at = now;
+  state.measured_at = now;
 }
 
 void StageMakers::OnCallEnded(TimeUs now,
                               const ReplicaId& id,
                               const CallView& call,
                               End end) {
-  Maker& maker = makers_[id];
-  std::uint32_t& calls = call.overdue ? maker.overdue : maker.calls;
+  ReplicaState& state = states_[id];
+  std::uint32_t& calls = call.overdue ? state.overdue : state.calls;
   if (calls > 0) {
     --calls;
   }
-  Release(id, call.bytes);
+  Release(id, call.result_bytes);
   if (end == End::kLost) {
     return;
   }
   if (end == End::kFailed) {
-    maker.shunned_until = now + maker.shun;
-    maker.shun = std::min(kMostShun, 2 * maker.shun);
+    state.backoff_until = now + state.backoff;
+    state.backoff = std::min(kMaxFailureBackoff, 2 * state.backoff);
     return;
   }
-  maker.shun = kShun;
+  state.backoff = kFailureBackoff;
   const double measured = static_cast<double>(now - call.started) /
                           static_cast<double>(call.expected);
-  const double before = SlownessOf(now, maker);
-  maker.slowness = std::max(1.0, before + kNewest * (measured - before));
-  maker.measured_at = now;
+  const double before = SlownessOf(now, state);
+  state.slowness =
+      std::max(1.0, before + kNewestCallWeight * (measured - before));
+  state.measured_at = now;
 }
 
-void StageMakers::OnNoRoom(TimeUs now, const ReplicaId& id) {
-  makers_[id].full_until = now + kFullFor;
+void StageMakers::OnOutOfMemory(TimeUs now, const ReplicaId& id) {
+  states_[id].out_of_memory_until = now + kOutOfMemoryBackoff;
 }
 
 std::uint64_t StageMakers::HeldBytes(const ReplicaId& id) const {
-  const Maker* maker = Find(id);
-  return maker == nullptr ? 0 : maker->held_bytes;
+  const ReplicaState* state = Find(id);
+  return state == nullptr ? 0 : state->held_bytes;
 }
 
 void StageMakers::Reserve(const ReplicaId& id, std::uint64_t bytes) {
-  makers_[id].held_bytes += bytes;
+  states_[id].held_bytes += bytes;
 }
 
 void StageMakers::Release(const ReplicaId& id, std::uint64_t bytes) {
-  if (const auto it = makers_.find(id); it != makers_.end()) {
+  if (const auto it = states_.find(id); it != states_.end()) {
     it->second.held_bytes -= std::min(it->second.held_bytes, bytes);
   }
 }
 
-void StageMakers::Hold(TimeUs now,
-                       const ReplicaId& id,
-                       const std::string& handle,
-                       std::uint64_t bytes) {
-  held_[handle] = {id, bytes, now + limits_.result_life};
+void StageMakers::AddResult(TimeUs now,
+                            const ReplicaId& id,
+                            const std::string& handle,
+                            std::uint64_t bytes) {
+  results_[handle] = {id, bytes, now + limits_.result_life};
   Reserve(id, bytes);
 }
 
-void StageMakers::Forget(const std::string& handle) {
-  if (const auto it = held_.find(handle); it != held_.end()) {
-    Release(it->second.maker, it->second.bytes);
-    held_.erase(it);
+void StageMakers::RemoveResult(const std::string& handle) {
+  if (const auto it = results_.find(handle); it != results_.end()) {
+    Release(it->second.producer, it->second.bytes);
+    results_.erase(it);
   }
 }
 
-void StageMakers::ForgetLapsed(TimeUs now) {
-  for (auto it = held_.begin(); it != held_.end();) {
-    if (now < it->second.until) {
+void StageMakers::RemoveExpiredResults(TimeUs now) {
+  for (auto it = results_.begin(); it != results_.end();) {
+    if (now < it->second.expires_at) {
       ++it;
       continue;
     }
-    Release(it->second.maker, it->second.bytes);
-    it = held_.erase(it);
+    Release(it->second.producer, it->second.bytes);
+    it = results_.erase(it);
   }
 }
 
-double StageMakers::MemoryHeld() const {
+double StageMakers::MemoryShareInUse() const {
   double held = 0;
   for (const ReplicaEntry* it : All()) {
     held += static_cast<double>(HeldBytes(it->id));
   }
-  const double room = static_cast<double>(limits_.room_bytes) *
-                      static_cast<double>(All().size());
-  return room > 0 ? held / room : 0;
+  const double capacity = static_cast<double>(limits_.room_bytes) *
+                          static_cast<double>(All().size());
+  return capacity > 0 ? held / capacity : 0;
 }
 
 }  // namespace acaciachute
--- a/src/coordination/stages/stage_makers.h
+++ b/src/coordination/stages/stage_makers.h
@@ -1,5 +1,6 @@
-// What a batcher knows of its service's replicas: who is free, how slow each
-// is, who failed lately, and the memory that results hold there.
+// State of the replicas of one service as its batcher sees them: which are
+// free, how slow each is, which failed recently, and how much of their memory
+// results occupy.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
 
@@ -17,35 +18,40 @@
 
 class StageMakers {
  public:
-  // After a refusal or a broken call. A restart takes some seconds; a replica
-  // that is well again is found by one call.
-  static constexpr DurationUs kShun = 400 * kMillisecond;
-  static constexpr DurationUs kMostShun = 3200 * kMillisecond;
-  // After a replica had no room although the account here says so: another
-  // gateway's batcher filled it, and its results go as they are used.
-  static constexpr DurationUs kFullFor = 300 * kMillisecond;
-  // Weight of the newest call in a replica's slowness, and the time after which
-  // an old observation counts by 1/e.
-  static constexpr double kNewest = 0.5;
-  static constexpr DurationUs kForget = 4 * kSecond;
-  // From this slowness on a replica gets work only when that is worth it.
-  static constexpr double kSound = 1.5;
-
-  // One call, as far as its replica's account needs it.
+  // Time without calls to a replica after a refused or broken call; it doubles
+  // with each further failure. A restart takes some seconds; a recovered
+  // replica is found by a single call.
+  static constexpr DurationUs kFailureBackoff = 400 * kMillisecond;
+  static constexpr DurationUs kMaxFailureBackoff = 3200 * kMillisecond;
+  // Time without calls to a replica that reported being out of memory although
+  // the account kept here shows free memory: another gateway's batcher has
+  // filled it, and those results are released as they are used.
+  static constexpr DurationUs kOutOfMemoryBackoff = 300 * kMillisecond;
+  // Weight of the newest call in the moving average of a replica's slowness,
+  // and the time after which the weight of an old observation has fallen to
+  // 1/e.
+  static constexpr double kNewestCallWeight = 0.5;
+  static constexpr DurationUs kSlownessDecayTime = 4 * kSecond;
+  // A replica with at least this slowness counts as slow and gets calls only if
+  // it would finish before the others; see `ShouldUse`.
+  static constexpr double kSlowThreshold = 1.5;
+
+  // The data of one call that a replica's state is updated from.
   struct CallView {
     TimeUs started = 0;
-    DurationUs expected = 0;  // Of a sound replica.
-    std::uint64_t bytes = 0;  // Of its results.
+    DurationUs expected = 0;         // By a replica of normal speed.
+    std::uint64_t result_bytes = 0;  // Memory for its results.
     bool overdue = false;
   };
   enum class End {
     kAnswered,
     kFailed,
-    kLost,  // Nothing is wrong with the replica.
+    kLost,  // The answer was lost; the replica itself works.
   };
-  struct FirstFree {
-    std::size_t replicas = 0;  // That are not shunned.
-    DurationUs wait = 0;       // Until the first of them is free.
+  struct Availability {
+    // Replicas that are not in backoff after a failure.
+    std::size_t replicas = 0;
+    DurationUs wait = 0;  // Until the first of them is free.
   };
 
   explicit StageMakers(const ReplicaDirectory* directory)
@@ -56,70 +62,75 @@
     return directory_->Of(service_);
   }
 
-  // Of the maker of a result.
+  // Whether the replica that produced this result is in a failure domain that
+  // is being evacuated.
   bool InEvacuatedDomain(const std::string& handle) const;
 
-  // That take a call now, the fastest first.
-  std::vector<const ReplicaEntry*> Free(TimeUs now);
-  // Whether a slow replica would finish before the sound ones, which are busy,
-  // could have made the `waiting` pieces.
-  bool WorthIt(TimeUs now, const ReplicaEntry& replica, std::size_t waiting);
-  bool IsShunned(TimeUs now, const ReplicaId& id) const;
-  FirstFree WhenFree(TimeUs now, DurationUs most) const;
+  // The replicas that can take a call now, fastest first.
+  std::vector<const ReplicaEntry*> FreeReplicas(TimeUs now);
+  // Whether to give the replica a call: true unless it is slow and the replicas
+  // of normal speed, though busy, would complete the `waiting` pieces sooner.
+  bool ShouldUse(TimeUs now, const ReplicaEntry& replica, std::size_t waiting);
+  bool InBackoff(TimeUs now, const ReplicaId& id) const;
+  Availability NextAvailability(TimeUs now, DurationUs max_wait) const;
   double Slowness(TimeUs now, const ReplicaId& id) const;
   DurationUs CallTime(double slowness, std::size_t pieces) const;
 
-  // Returns how long the call will take there.
+  // Returns the expected duration of the call on that replica.
   DurationUs OnCallStarted(TimeUs now, const ReplicaId& id, std::size_t pieces);
-  // It no longer counts as one that keeps the replica busy.
+  // The call no longer counts against the replica's slots.
   void OnCallOverdue(TimeUs now, const ReplicaId& id, const CallView& call);
   void OnCallEnded(TimeUs now,
                    const ReplicaId& id,
                    const CallView& call,
                    End end);
-  void OnNoRoom(TimeUs now, const ReplicaId& id);
-  void OnGone(const ReplicaId& id) { makers_.erase(id); }
+  void OnOutOfMemory(TimeUs now, const ReplicaId& id);
+  void OnReplicaRemoved(const ReplicaId& id) { states_.erase(id); }
 
-  // Memory at a replica, results that are being made included.
+  // Result memory in use at a replica, including results that are being
+  // produced.
   std::uint64_t HeldBytes(const ReplicaId& id) const;
   void Reserve(const ReplicaId& id, std::uint64_t bytes);
-  // A result lies there until it is forgotten or lapses.
-  void Hold(TimeUs now,
-            const ReplicaId& id,
-            const std::string& handle,
-            std::uint64_t bytes);
-  void Forget(const std::string& handle);
-  void ForgetLapsed(TimeUs now);
-  // Share of all replicas' memory that is held.
-  double MemoryHeld() const;
+  // Records a stored result. It occupies the replica's memory until it is
+  // removed or expires.
+  void AddResult(TimeUs now,
+                 const ReplicaId& id,
+                 const std::string& handle,
+                 std::uint64_t bytes);
+  void RemoveResult(const std::string& handle);
+  void RemoveExpiredResults(TimeUs now);
+  // Share of the result memory of all replicas that is in use.
+  double MemoryShareInUse() const;
 
  private:
-  struct Maker {
-    std::uint32_t calls = 0;    // Those that are overdue left out.
-    std::uint32_t overdue = 0;  // Calls that may never be answered.
-    double slowness = 1;        // Measured against expected time.
+  struct ReplicaState {
+    std::uint32_t calls = 0;    // In progress and not overdue.
+    std::uint32_t overdue = 0;  // Overdue calls, which may never be answered.
+    double slowness = 1;  // Measured call time divided by the expected one.
     TimeUs measured_at = 0;
-    TimeUs shunned_until = 0;
-    DurationUs shun = kShun;
+    TimeUs backoff_until = 0;
+    DurationUs backoff = kFailureBackoff;
     TimeUs free_at = 0;
-    TimeUs full_until = 0;         // It had no room, by results not known here.
-    std::uint64_t held_bytes = 0;  // Results there, and those being made.
+    // Backoff after the replica reported being out of memory.
+    TimeUs out_of_memory_until = 0;
+    // Results stored there and those being produced.
+    std::uint64_t held_bytes = 0;
   };
-  struct Held {
-    ReplicaId maker;
+  struct StoredResult {
+    ReplicaId producer;
     std::uint64_t bytes = 0;
-    TimeUs until = 0;  // Its maker forgets it by then.
+    TimeUs expires_at = 0;  // When the replica discards the result.
   };
 
-  static double SlownessOf(TimeUs now, const Maker& maker);
-  const Maker* Find(const ReplicaId& id) const;
+  static double SlownessOf(TimeUs now, const ReplicaState& state);
+  const ReplicaState* Find(const ReplicaId& id) const;
   void Release(const ReplicaId& id, std::uint64_t bytes);
 
   const ReplicaDirectory* const directory_;
   std::string service_;
   BatchLimits limits_;
-  absl::flat_hash_map<ReplicaId, Maker> makers_;
-  std::map<std::string, Held> held_;  // By handle.
+  absl::flat_hash_map<ReplicaId, ReplicaState> states_;
+  std::map<std::string, StoredResult> results_;  // By handle.
 };
 
 }  // namespace acaciachute
--- a/src/coordination/stages/stage_progress.cc
+++ b/src/coordination/stages/stage_progress.cc
@@ -15,20 +15,22 @@
     stages_[n].handles.resize(n < pieces.size() ? pieces[n] : 0);
     stages_[n].time = stages_[n].handles.empty() ? 0 : times[n];
   }
-  // Stages name only earlier ones, so each path is complete when it is used.
+  // Stages depend only on earlier ones, so each critical path is complete when
+  // it is used.
   for (std::size_t n = stages_.size(); n-- > 0;) {
     Stage& stage = stages_[n];
-    stage.path += stage.time;
+    stage.critical_path += stage.time;
     for (const std::uint32_t needed : stage.after) {
       if (needed < n) {
-        stages_[needed].path = std::max(stages_[needed].path, stage.path);
+        stages_[needed].critical_path =
+            std::max(stages_[needed].critical_path, stage.critical_path);
       }
     }
   }
   for (const Stage& it : stages_) {
     for (const std::uint32_t needed : it.after) {
       if (needed < stages_.size() && !it.handles.empty()) {
-        stages_[needed].followed = true;
+        stages_[needed].has_dependents = true;
       }
     }
   }
@@ -38,14 +40,14 @@
   DurationUs left = 0;
   for (const Stage& it : stages_) {
     if (!it.done()) {
-      left = std::max(left, it.path);
+      left = std::max(left, it.critical_path);
     }
   }
   return left;
 }
 
 DurationUs StageProgress::TimeAfter(std::uint32_t stage) const {
-  return stages_[stage].path - stages_[stage].time;
+  return stages_[stage].critical_path - stages_[stage].time;
 }
 
 std::vector<std::uint32_t> StageProgress::TakeReady() {
@@ -53,15 +55,15 @@
   const DurationUs left = TimeLeft();
   for (std::uint32_t n = 0; n < stages_.size(); ++n) {
     Stage& stage = stages_[n];
-    if (stage.begun || stage.path + kAhead < left) {
+    if (stage.started || stage.critical_path + kStageLeadTime < left) {
       continue;
     }
-    const bool met = std::all_of(
+    const bool inputs_complete = std::all_of(
         stage.after.begin(), stage.after.end(), [&](std::uint32_t needed) {
           return needed >= stages_.size() || stages_[needed].done();
         });
-    if (met) {
-      stage.begun = true;
+    if (inputs_complete) {
+      stage.started = true;
       ready.push_back(n);
     }
   }
@@ -114,13 +116,13 @@
 
 bool StageProgress::Complete() const {
   return std::all_of(stages_.begin(), stages_.end(),
-                     [](const Stage& it) { return it.begun && it.done(); });
+                     [](const Stage& it) { return it.started && it.done(); });
 }
 
 std::vector<std::string> StageProgress::FinalResults() const {
   std::vector<std::string> results;
   for (const Stage& it : stages_) {
-    if (!it.followed) {
+    if (!it.has_dependents) {
       results.insert(results.end(), it.handles.begin(), it.handles.end());
     }
   }
@@ -130,16 +132,16 @@
 std::uint64_t StageProgress::FinalBytes() const {
   std::uint64_t bytes = 0;
   for (const Stage& it : stages_) {
-    bytes += it.followed ? 0 : it.result_bytes * it.handles.size();
+    bytes += it.has_dependents ? 0 : it.result_bytes * it.handles.size();
   }
   return bytes;
 }
 
 std::vector<std::string> StageProgress::TakeUnneeded() {
-  std::vector<std::string> out;
+  std::vector<std::string> unneeded;
   for (std::uint32_t n = 0; n < stages_.size(); ++n) {
     Stage& stage = stages_[n];
-    if (stage.released || !stage.followed || !stage.done()) {
+    if (stage.released || !stage.has_dependents || !stage.done()) {
       continue;
     }
     const bool needed =
@@ -149,14 +151,15 @@
         });
     if (!needed) {
       stage.released = true;
-      out.insert(out.end(), stage.handles.begin(), stage.handles.end());
+      unneeded.insert(unneeded.end(), stage.handles.begin(),
+                      stage.handles.end());
     }
   }
-  return out;
+  return unneeded;
 }
 
 std::vector<std::string> StageProgress::TakeAll() {
-  std::vector<std::string> out;
+  std::vector<std::string> unneeded;
   for (Stage& it : stages_) {
     if (it.released) {
       continue;
@@ -164,18 +167,18 @@
     it.released = true;
     for (const auto& handle : it.handles) {
       if (!handle.empty()) {
-        out.push_back(handle);
+        unneeded.push_back(handle);
       }
     }
   }
-  return out;
+  return unneeded;
 }
 
 void StageProgress::Restart() {
   for (Stage& it : stages_) {
     std::fill(it.handles.begin(), it.handles.end(), std::string());
     it.made = 0;
-    it.begun = false;
+    it.started = false;
     it.released = false;
   }
 }
--- a/src/coordination/stages/stage_progress.h
+++ b/src/coordination/stages/stage_progress.h
@@ -1,5 +1,5 @@
-// How far one request's stages are: which pieces can be made now, which results
-// the next stages and the model replica need, and which are needed no longer.
+// Tracks the stages of one request: which pieces can run now, which results the
+// next stages and the model replica need, and which are needed no longer.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_PROGRESS_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_PROGRESS_H_
 
@@ -14,62 +14,68 @@
 
 class StageProgress {
  public:
-  // `pieces` is by stage and may be shorter than the stages; what is missing is
-  // left out.
-  // `times` is how long each stage takes, by stage.
+  // `pieces` holds the number of pieces per stage and may be shorter than
+  // `stages`; the stages beyond its end are skipped. `times` holds the expected
+  // duration of each stage.
   StageProgress(const std::vector<StageSpec>& stages,
                 const std::vector<std::uint32_t>& pieces,
                 const std::vector<DurationUs>& times);
 
-  // Stages whose needs are met and that were not begun; they count as begun.
+  // Returns the stages whose inputs are complete and that were not started yet,
+  // and marks them as started.
   //
-  // Load pattern: one stage takes 0.4 s and makes results of 1 MB, beside a
-  // chain of three that takes 1.5 s. Begun together, the large results fill
-  // their replicas' memory while they wait for the chain. A stage is put off
-  // while the others need longer than it does by `kAhead`.
+  // One stage takes 0.4 s and produces results of 1 MB, beside a chain of three
+  // stages that takes 1.5 s. If both start together, the large results occupy
+  // their replicas' memory while they wait for the chain. So a stage is
+  // deferred while the remaining time of the others exceeds its own by more
+  // than `kStageLeadTime`.
   std::vector<std::uint32_t> TakeReady();
-  // About one call of a stage, so that waiting in its queue delays nothing.
-  static constexpr DurationUs kAhead = 250 * kMillisecond;
+  // How much earlier than strictly necessary a deferred stage starts. About the
+  // duration of one call, so that time spent in its queue delays nothing.
+  static constexpr DurationUs kStageLeadTime = 250 * kMillisecond;
 
-  // The least time until all stages are done, and that from the end of `stage`
-  // until the end of those that need it.
+  // Shortest time until all stages are done, and shortest time from the end of
+  // `stage` until all stages that depend on it are done.
   DurationUs TimeLeft() const;
   DurationUs TimeAfter(std::uint32_t stage) const;
 
   std::uint32_t Pieces(std::uint32_t stage) const;
-  // Results of all pieces of all stages that `stage` needs.
+  // Handles of the results of all pieces of all stages that `stage` needs.
   std::vector<std::string> InputsOf(std::uint32_t stage) const;
 
   // Whether no other stage needs the results that `stage` needs.
   bool OnlyUserOfItsInputs(std::uint32_t stage) const;
 
-  // Whether that made its stage whole.
+  // Records the result of a piece. Returns whether this completed its stage.
   bool OnMade(std::uint32_t stage, std::uint32_t piece, std::string handle);
   bool Complete() const;
-  // Whether nothing of the stage is left to be made.
+  // Whether all pieces of the stage are done.
   bool IsMade(std::uint32_t stage) const { return stages_[stage].done(); }
-  // Results of the stages that no other stage follows, for the model replica.
+  // Results of the stages that no other stage depends on, for the model
+  // replica.
   std::vector<std::string> FinalResults() const;
-  // Their bytes, as the route states them.
+  // Total size of the final results in bytes, as configured in the route.
   std::uint64_t FinalBytes() const;
-  // Results that only finished stages needed; each is given once.
+  // Results that no unfinished stage needs; each is returned once.
   std::vector<std::string> TakeUnneeded();
-  // All results that were not yet given by `TakeUnneeded`.
+  // All results that `TakeUnneeded` has not returned yet.
   std::vector<std::string> TakeAll();
-  // Begins again: some result is gone.
+  // Resets all stages to the beginning, after a result was lost.
   void Restart();
 
  private:
   struct Stage {
     std::vector<std::uint32_t> after;
-    std::vector<std::string> handles;  // Empty until made.
+    std::vector<std::string> handles;  // Empty until the piece is done.
     std::uint32_t made = 0;
-    DurationUs path =
-        0;  // From its begin to the end of the last that needs it.
+    DurationUs critical_path =
+        // From the start of this stage to the end of the last stage that
+        // depends on it.
+        0;
     DurationUs time = 0;
-    std::uint64_t result_bytes = 0;  // Of one piece.
-    bool begun = false;
-    bool followed = false;
+    std::uint64_t result_bytes = 0;  // Per piece.
+    bool started = false;
+    bool has_dependents = false;
     bool released = false;
 
     bool done() const { return made == handles.size(); }
--- a/tests/gateway/fill_call_test.cc
+++ b/tests/gateway/fill_call_test.cc
@@ -10,12 +10,12 @@
 namespace acaciachute {
 namespace {
 
-WaitingGroup Group(std::size_t pieces, TimeUs since = 0) {
+WaitingGroup Group(std::size_t pieces, TimeUs request_arrived_at = 0) {
   WaitingGroup it;
   it.pieces = pieces;
-  it.bytes = pieces;
-  it.room = 1000;
-  it.since = since;
+  it.result_bytes = pieces;
+  it.memory_limit = 1000;
+  it.request_arrived_at = request_arrived_at;
   return it;
 }
 
@@ -64,7 +64,7 @@
   groups.reserve(8);
   for (TimeUs n = 0; n < 8; ++n) {
     groups.push_back(Group(10, n * 10 * kMillisecond));
-    groups.back().near = n >= 6;
+    groups.back().inputs_near = n >= 6;
   }
   EXPECT_EQ(FillCall(groups, {20, 20, 0}), (std::vector<std::size_t>{6, 7}));
 }
@@ -72,8 +72,8 @@
 // ... but not before what has waited longer by a call's time, so that a domain
 // whose replicas are slow does not leave its requests behind.
 TEST(FillCallTest, TakesWhatWaitedMuchLongerBeforeWhatIsNear) {
-  std::vector<WaitingGroup> groups = {Group(10), Group(10, kNearLead + 1)};
-  groups[0].near = false;
+  std::vector<WaitingGroup> groups = {Group(10), Group(10, kNearAgeBonus + 1)};
+  groups[0].inputs_near = false;
   EXPECT_EQ(FillCall(groups, {10, 10, 0}), (std::vector<std::size_t>{0}));
 }
 
@@ -81,13 +81,13 @@
 TEST(FillCallTest, TakesUrgentBeforeNear) {
   std::vector<WaitingGroup> groups = {Group(10), Group(10)};
   groups[0].priority = 2;
-  groups[1].near = false;
+  groups[1].inputs_near = false;
   EXPECT_EQ(FillCall(groups, {10, 10, 0}), (std::vector<std::size_t>{1}));
 }
 
 TEST(FillCallTest, PassesOverWhatHasNoMemory) {
   std::vector<WaitingGroup> groups = {Group(10), Group(20, 1), Group(5, 2)};
-  groups[1].room = 15;
+  groups[1].memory_limit = 15;
   EXPECT_EQ(FillCall(groups, {40, 40, 0}), (std::vector<std::size_t>{0, 2}));
 }
 
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -278,7 +278,7 @@
   rig.Pass(10 * kMs);
   const bool free_elsewhere = before < 2;
   EXPECT_EQ(rig.calls.size(), before);
-  rig.Pass(PieceBatcher::kNearPatience);
+  rig.Pass(PieceBatcher::kMinNearDelay);
   EXPECT_EQ(rig.calls.size(), free_elsewhere ? before + 1 : before);
 }
 
@@ -295,7 +295,7 @@
   near.near_domain = "a";
   near.time_to_begin = 400 * kMs;
   rig.Add(near);
-  rig.Pass(PieceBatcher::kNearPatience + 10 * kMs);
+  rig.Pass(PieceBatcher::kMinNearDelay + 10 * kMs);
   EXPECT_EQ(rig.calls.size(), 1U);
   rig.Pass(60 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
@@ -363,7 +363,7 @@
 // any number of them.
 TEST(PieceBatcherTest, LooksPastABoundedNumberThatDoNotFit) {
   for (const std::size_t large :
-       {PieceBatcher::kLookAhead - 1, PieceBatcher::kLookAhead}) {
+       {PieceBatcher::kMaxSkippedGroups - 1, PieceBatcher::kMaxSkippedGroups}) {
     BatcherRig rig;
     rig.AddReplicas(1);
     PieceOrder first = BatcherRig::Order("first", 0, 0);
@@ -380,7 +380,7 @@
     rig.batcher.Dispatch(rig.now);
     ASSERT_EQ(rig.calls.size(), 1U);
     EXPECT_EQ(rig.calls[0].pieces.size(),
-              large < PieceBatcher::kLookAhead ? 2U : 1U);
+              large < PieceBatcher::kMaxSkippedGroups ? 2U : 1U);
   }
 }
 
--- a/tests/gateway/queue_rate_test.cc
+++ b/tests/gateway/queue_rate_test.cc
@@ -10,37 +10,37 @@
 
 TEST(QueueRateTest, SaysNothingBeforeItHasSeenEnough) {
   QueueRate rate;
-  EXPECT_FALSE(rate.Each(0));
-  rate.OnBegun(0, 10, true);
-  EXPECT_FALSE(rate.Each(QueueRate::kLeastWindow - 1));
-  EXPECT_TRUE(rate.Each(QueueRate::kLeastWindow));
+  EXPECT_FALSE(rate.TimePerPiece(0));
+  rate.OnPiecesStarted(0, 10, true);
+  EXPECT_FALSE(rate.TimePerPiece(QueueRate::kMinRateWindow - 1));
+  EXPECT_TRUE(rate.TimePerPiece(QueueRate::kMinRateWindow));
 }
 
 TEST(QueueRateTest, CountsThePiecesOfTheWindow) {
   QueueRate rate;
   TimeUs now = 0;
   for (; now <= 10 * kSecond; now += kStep) {
-    rate.OnBegun(now, 10, true);
+    rate.OnPiecesStarted(now, 10, true);
   }
   now -= kStep;
-  ASSERT_TRUE(rate.Each(now));
+  ASSERT_TRUE(rate.TimePerPiece(now));
   // Ten pieces a step, one more for the step at the window's begin.
-  EXPECT_NEAR(*rate.Each(now), static_cast<double>(kStep) / 10, 600);
+  EXPECT_NEAR(*rate.TimePerPiece(now), static_cast<double>(kStep) / 10, 600);
 }
 
 // Load: nothing is begun any more while pieces wait.
 TEST(QueueRateTest, AQueueThatStandsGetsSlower) {
   QueueRate rate;
-  rate.OnBegun(0, 10, true);
-  const double before = *rate.Each(kSecond);
-  EXPECT_GT(*rate.Each(10 * kSecond), before);
+  rate.OnPiecesStarted(0, 10, true);
+  const double before = *rate.TimePerPiece(kSecond);
+  EXPECT_GT(*rate.TimePerPiece(10 * kSecond), before);
 }
 
 TEST(QueueRateTest, ForgetsWhenNothingWaits) {
   QueueRate rate;
-  rate.OnBegun(0, 10, true);
-  rate.OnBegun(kSecond, 10, false);
-  EXPECT_FALSE(rate.Each(2 * kSecond));
+  rate.OnPiecesStarted(0, 10, true);
+  rate.OnPiecesStarted(kSecond, 10, false);
+  EXPECT_FALSE(rate.TimePerPiece(2 * kSecond));
 }
 
 }  // namespace
--- a/tests/gateway/shared_piece_desk_test.cc
+++ b/tests/gateway/shared_piece_desk_test.cc
@@ -42,11 +42,12 @@
     bool ShortOfMemory(const std::vector<std::string>&) override {
       return true;
     }
-    void OnInputsRead(const std::vector<std::string>& list) override {
-      desk.Free(list);
+    void OnInputsRead(const std::vector<std::string>& released) override {
+      desk.Free(released);
     }
-    void FreeAt(const Address&, const std::vector<std::string>& list) override {
-      freed.insert(freed.end(), list.begin(), list.end());
+    void FreeAt(const Address&,
+                const std::vector<std::string>& released) override {
+      freed.insert(freed.end(), released.begin(), released.end());
     }
     void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
     void Take(const NodeId& from, const Message& message, TimeUs now) {
@@ -56,8 +57,8 @@
         desk.OnPeerDrop(*drop);
       } else if (const auto* free = std::get_if<PieceFree>(&message)) {
         desk.OnPeerFree(*free);
-      } else if (const auto* list = std::get_if<PieceResults>(&message)) {
-        desk.OnPeerResults(*list);
+      } else if (const auto* released = std::get_if<PieceResults>(&message)) {
+        desk.OnPeerResults(*released);
       }
     }
 
@@ -204,13 +205,13 @@
 }
 
 // A gateway that is paused with pieces in hand costs its peers' requests a wait
-// of `kPatience` at most; its late result is freed.
+// of `kResultTimeout` at most; its late result is freed.
 TEST(SharedPieceDeskTest, DoesNotWaitForASilentGatewayForEver) {
   DeskNet net(2);
   auto& asker = net.At(net.other);
   asker.desk.Submit(net.now, {DeskNet::Order("r")});
   net.Deliver();
-  net.now += SharedPieceDesk::kPatience + kMillisecond;
+  net.now += SharedPieceDesk::kResultTimeout + kMillisecond;
   asker.peers.TakeLost(net.now);
   asker.desk.OnTick(net.now);
   asker.local.OnTick(net.now);
@@ -236,7 +237,7 @@
   asker.desk.Submit(net.now, {DeskNet::Order("r")});
   net.Deliver();
   asker.log.events.clear();
-  net.now += SharedPieceDesk::kPatience + kSecond;
+  net.now += SharedPieceDesk::kResultTimeout + kSecond;
   asker.desk.OnTick(net.now);
   EXPECT_FALSE(asker.log.Saw("pieces_again"));
   net.now += 2 * kSecond + kMillisecond;
