--- a/src/coordination/membership/gateway_peers.cc
+++ b/src/coordination/membership/gateway_peers.cc
@@ -177,7 +177,7 @@
       largest = std::max(largest, peer.cores);
     }
   }
-  const double least = kLargeHost * largest;
+  const double least = kMinLargeHostShare * largest;
   const NodeId* owner = &self_.node;
   const bool takes_part = !leaving_ && self_.cores >= least;
   double best = takes_part ? Weight(service, self_.node, self_.cores) : 0;
--- a/src/coordination/stages/stage_progress.h
+++ b/src/coordination/stages/stage_progress.h
@@ -68,10 +68,9 @@
     std::vector<std::uint32_t> after;
     std::vector<std::string> handles;  // Empty until the piece is done.
     std::uint32_t made = 0;
-    DurationUs critical_path =
-        // From the start of this stage to the end of the last stage that
-        // depends on it.
-        0;
+    // From the start of this stage to the end of the last stage that depends on
+    // it.
+    DurationUs critical_path = 0;
     DurationUs time = 0;
     std::uint64_t result_bytes = 0;  // Per piece.
     bool started = false;
--- a/src/coordination/tables/freshness_plan.cc
+++ b/src/coordination/tables/freshness_plan.cc
@@ -5,21 +5,23 @@
 namespace acaciachute {
 namespace {
 
-// Shares of the bound; what they leave is for looking at ages.
-constexpr double kAskStore = 0.5;
-constexpr double kStoreAnswer = 0.2;
-constexpr double kAct = 0.24;
-// Of the time in touch.
-constexpr double kStoreInTime = 0.25;
-constexpr double kStoreAgain = 0.75;
-constexpr double kPause = 0.15;
-// Left of `ask_store` for the way of news from the store through a relay.
-constexpr double kWay = 0.1;
-constexpr double kSettle = 0.075;
-constexpr DurationUs kMostPause = 500 * kMillisecond;
-constexpr DurationUs kMostSettle = 150 * kMillisecond;
-// Longer waits save calls that are few already.
-constexpr DurationUs kMostStoreWait = 1500 * kMillisecond;
+// Shares of the bound on staleness. The remainder is for `kAgeCheckPeriod`.
+constexpr double kStoreRequestAgeShare = 0.5;
+constexpr double kStoreAnswerTimeShare = 0.2;
+constexpr double kDispatchTimeShare = 0.24;
+// Shares of the bound on recovery.
+constexpr double kStoreTimeoutShare = 0.25;
+constexpr double kStoreRetryPeriodShare = 0.75;
+constexpr double kRetryDelayShare = 0.15;
+// Share of the bound that is reserved within `store_request_age` for the
+// transfer of changes from the store through a relay.
+constexpr double kRelayTransferShare = 0.1;
+constexpr double kSettleDelayShare = 0.075;
+constexpr DurationUs kMaxRetryDelay = 500 * kMillisecond;
+constexpr DurationUs kMaxSettleDelay = 150 * kMillisecond;
+// Longer hold times would hardly reduce the number of requests, which is small
+// already.
+constexpr DurationUs kMaxStoreHoldTime = 1500 * kMillisecond;
 
 DurationUs ShareOf(DurationUs time, double share) {
   return static_cast<DurationUs>(share * static_cast<double>(time));
@@ -27,17 +29,21 @@
 
 }  // namespace
 
-FreshnessPlan PlanFreshness(DurationUs bound, DurationUs contact) {
+FreshnessPlan PlanFreshness(DurationUs bound, DurationUs recovery_bound) {
   FreshnessPlan plan;
-  plan.ask_store = ShareOf(bound, kAskStore);
-  plan.store_answer = ShareOf(std::min(bound, contact), kStoreAnswer);
-  plan.act = ShareOf(bound, kAct);
-  plan.store_in_time = ShareOf(contact, kStoreInTime);
-  plan.store_again = ShareOf(contact, kStoreAgain);
-  plan.most_pause = std::min(kMostPause, ShareOf(contact, kPause));
-  plan.settle = std::min(kMostSettle, ShareOf(bound, kSettle));
-  plan.store_wait = std::min(
-      kMostStoreWait, plan.ask_store - plan.settle - ShareOf(bound, kWay));
+  plan.store_request_age = ShareOf(bound, kStoreRequestAgeShare);
+  plan.store_answer_time =
+      ShareOf(std::min(bound, recovery_bound), kStoreAnswerTimeShare);
+  plan.act = ShareOf(bound, kDispatchTimeShare);
+  plan.store_timeout = ShareOf(recovery_bound, kStoreTimeoutShare);
+  plan.store_retry_period = ShareOf(recovery_bound, kStoreRetryPeriodShare);
+  plan.max_retry_delay =
+      std::min(kMaxRetryDelay, ShareOf(recovery_bound, kRetryDelayShare));
+  plan.settle_delay =
+      std::min(kMaxSettleDelay, ShareOf(bound, kSettleDelayShare));
+  plan.store_wait =
+      std::min(kMaxStoreHoldTime, plan.store_request_age - plan.settle_delay -
+                                      ShareOf(bound, kRelayTransferShare));
   return plan;
 }
 
--- a/src/coordination/tables/freshness_plan.h
+++ b/src/coordination/tables/freshness_plan.h
@@ -1,12 +1,14 @@
-// Every wait between an acknowledgement of the store and the moment at which a
-// gateway no longer acts on what was true before it.
+// Splits the bound on staleness into time limits for single steps. Staleness is
+// the time from the store's acknowledgement of a change until a gateway no
+// longer acts on the state before it.
 //
-// Failure: the gateway that is asked for a table has lost the store, is frozen
-// or slow, and goes on answering that nothing changed. Symptom: requests reach
-// replicas that left long ago, or are handled by a configuration that was
-// replaced, at hosts that reach the store themselves. So no wait along the way
-// is added to another: what a gateway knows has an age, whoever told it, and at
-// `ask_store` it asks the store itself. `Sum` is what is left to add up.
+// The gateway that is asked for a table may have lost the store, or may be
+// frozen or slow, and still answer that nothing changed. Hosts that can reach
+// the store themselves would then send requests to replicas that left long ago,
+// or use a configuration that was replaced. So time limits of successive
+// gateways do not add up: all data have an age, whichever gateway sent them,
+// and from the age `store_request_age` on a gateway asks the store itself.
+// `WorstCaseStaleness` is the sum of the remaining steps.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_FRESHNESS_PLAN_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_FRESHNESS_PLAN_H_
 
@@ -15,46 +17,53 @@
 namespace acaciachute {
 
 struct FreshnessPlan {
-  // Period with which ages are looked at.
-  static constexpr DurationUs kLook = 10 * kMillisecond;
-
-  // Age at which a gateway asks the store itself.
-  DurationUs ask_store = 0;
-  // Within which a store that works answers a host that reaches it.
-  DurationUs store_answer = 0;
-  // From a choice until what was chosen has the request.
+  // Period of the check whether a table is too old.
+  static constexpr DurationUs kAgeCheckPeriod = 10 * kMillisecond;
+
+  // Age of a table from which a gateway asks the store itself.
+  DurationUs store_request_age = 0;
+  // Time within which a working store answers a host that can reach it.
+  DurationUs store_answer_time = 0;
+  // Time from the choice of a replica until it has received the request.
   DurationUs act = 0;
-  // Beyond what it was asked to wait, after which the store counts as one that
-  // does not answer; more than `store_answer`. A later answer is taken too.
-  DurationUs store_in_time = 0;
-  // A store that does not answer is asked again after this at the latest.
-  DurationUs store_again = 0;
-  // Between questions while nobody answers them. A store that is due to be
-  // asked again is asked all the same.
-  DurationUs most_pause = 0;
-
-  // The waits of gateways that work: they keep every age below `ask_store`.
-  // How long the store holds a question without news.
+  // Time limit of a store request, in addition to the time for which the store
+  // was asked to hold it; larger than `store_answer_time`. Later answers are
+  // still used.
+  DurationUs store_timeout = 0;
+  // Longest time until a store that does not answer is asked again.
+  DurationUs store_retry_period = 0;
+  // Longest delay between two reads of a table while none succeeds. The store
+  // is nevertheless asked again when `store_retry_period` is over.
+  DurationUs max_retry_delay = 0;
+
+  // How long the store holds a request while there are no changes. With this
+  // hold time, gateways that work keep all ages below `store_request_age`.
   DurationUs store_wait = 0;
-  // After news, so that rows which change together come in one answer.
-  DurationUs settle = 0;
+  // Delay of the next request after a change, so that rows that change together
+  // arrive in one answer.
+  DurationUs settle_delay = 0;
 
-  // Of `act`, until a connection is made.
+  // Share of `dispatch_time` for connecting.
   DurationUs Connect() const { return act / 2; }
-  // From an acknowledgement until nothing follows from what was true before,
-  // at a gateway that reaches the store.
-  DurationUs Sum() const { return ask_store + kLook + store_answer + act; }
-  // From when a gateway reaches the store again until it knows what it holds.
-  DurationUs Recovery() const { return store_again + kLook + store_answer; }
+  // Longest time from the store's acknowledgement of a change until a gateway
+  // that reaches the store no longer acts on the state before it.
+  DurationUs WorstCaseStaleness() const {
+    return store_request_age + kAgeCheckPeriod + store_answer_time + act;
+  }
+  // Longest time from when a gateway can reach the store again until it has the
+  // store's current state.
+  DurationUs RecoveryTime() const {
+    return store_retry_period + kAgeCheckPeriod + store_answer_time;
+  }
 };
 
-// The shortest bound for which there is a plan.
+// Smallest bound for which a plan exists.
 inline constexpr DurationUs kLeastFreshnessBound = 200 * kMillisecond;
 
-// `Sum` is below `bound`, and `Recovery` below `contact`, the time after which
-// a host that reaches the store again must keep the bound. Neither may be below
-// `kLeastFreshnessBound`.
-FreshnessPlan PlanFreshness(DurationUs bound, DurationUs contact);
+// Returns a plan with `WorstCaseStaleness` below `bound` and `RecoveryTime`
+// below `recovery_bound`, the time after which a host that can reach the store
+// again must keep the bound. Both must be at least `kMinFreshnessBound`.
+FreshnessPlan PlanFreshness(DurationUs bound, DurationUs recovery_bound);
 
 }  // namespace acaciachute
 
--- a/src/coordination/tables/relay_plan.cc
+++ b/src/coordination/tables/relay_plan.cc
@@ -19,15 +19,16 @@
   }
   Ranked ranked;
   for (const GatewayHost& it : domain) {
-    if (it.cores >= kLargeHost * largest) {
+    if (it.cores >= kMinLargeHostShare * largest) {
       ranked.emplace(RendezvousWeight("relay", it.node, it.cores), it.node);
     }
   }
-  const std::size_t n = (domain.size() + RelayPlan::kFollowersARelay - 1) /
-                        RelayPlan::kFollowersARelay;
+  const std::size_t relay_count =
+      (domain.size() + RelayPlan::kFollowersPerRelay - 1) /
+      RelayPlan::kFollowersPerRelay;
   std::vector<NodeId> relays;
   for (const auto& [weight, node] : ranked) {
-    if (relays.size() < n) {
+    if (relays.size() < relay_count) {
       relays.push_back(node);
     }
   }
@@ -44,8 +45,8 @@
   }
   RelayPlan plan;
   plan.is_relay = false;
-  Ranked near;
-  Ranked far;
+  Ranked same_domain;
+  Ranked other_domains;
   for (const auto& [domain, members] : domains) {
     const std::vector<NodeId> relays = RelaysOf(members);
     for (const NodeId& it : relays) {
@@ -53,15 +54,15 @@
       if (it == self.node) {
         plan.is_relay = true;
       } else if (domain == self.domain) {
-        near.emplace(weight, it);
+        same_domain.emplace(weight, it);
       } else if (it == relays.front()) {
-        far.emplace(weight, it);
+        other_domains.emplace(weight, it);
       }
     }
   }
-  for (const Ranked* ranked : {&near, &far}) {
+  for (const Ranked* ranked : {&same_domain, &other_domains}) {
     for (const auto& [weight, node] : *ranked) {
-      plan.others.push_back(node);
+      plan.relays.push_back(node);
     }
   }
   return plan;
--- a/src/coordination/tables/relay_plan.h
+++ b/src/coordination/tables/relay_plan.h
@@ -1,9 +1,11 @@
-// Which gateways ask the store for its tables, and whom the others ask.
+// Determines which gateways ask the store for its tables, and which gateways
+// the others ask.
 //
-// Load pattern: the store's calls grow with the gateways that ask it. Of each
-// failure domain one gateway in `kFollowersARelay` asks it, a large host, by
-// rendezvous hash, so that gateways agree without asking anybody. While two
-// disagree, one more asks the store, or an answer goes one way further.
+// The load on the store grows with the number of gateways that ask it. In each
+// failure domain, one gateway per `kFollowersPerRelay` asks the store. It is a
+// large host, chosen by rendezvous hashing, so gateways agree without
+// communication. While two gateways disagree, one more gateway asks the store,
+// or an answer passes through one more gateway.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_RELAY_PLAN_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_RELAY_PLAN_H_
 
@@ -17,27 +19,27 @@
 // The host that a gateway runs on.
 struct GatewayHost {
   NodeId node;
-  std::string domain;  // Failure domain.
-  double cores = 1;    // Share of a processor core.
+  std::string domain;
+  double cores = 1;  // Processor share, in cores.
 };
 
-// Hosts with less than this share of the largest processor do no work for
-// others while a larger one lives.
-inline constexpr double kLargeHost = 0.5;
+// Share of the largest host's processor below which a host does no work for
+// other gateways. The largest host is taken among the live ones.
+inline constexpr double kMinLargeHostShare = 0.5;
 
-// As one gateway sees it.
+// The plan from the view of one gateway.
 struct RelayPlan {
-  // Gateways of one failure domain that follow one of them, at most: answering
-  // them takes a large host under a hundredth of a core.
-  static constexpr std::size_t kFollowersARelay = 24;
+  // Largest number of gateways of one failure domain that follow one relay:
+  // answering them takes a large host less than a hundredth of a core.
+  static constexpr std::size_t kFollowersPerRelay = 24;
   bool is_relay = true;
-  // Whom to ask, best first: the relays of the own domain, then one of each
-  // other, in an order of one's own so that the gateways of a lost domain
-  // spread over all others.
-  std::vector<NodeId> others;
+  // Relays to ask, best first: those of the gateway's own domain, then one of
+  // each other domain. The order differs between gateways, so that the gateways
+  // of a domain that lost its relays spread over all other domains.
+  std::vector<NodeId> relays;
 };
 
-// `hosts` are the gateways that take work, `self` among them if it does.
+// `hosts` are the gateways that accept work, including `self` if it does.
 RelayPlan PlanRelays(const GatewayHost& self,
                      const std::vector<GatewayHost>& hosts);
 
--- a/src/coordination/tables/remote_clock.h
+++ b/src/coordination/tables/remote_clock.h
@@ -1,11 +1,12 @@
-// Where a moment of another process's steady clock lies on this host's clock.
+// Maps times of another process's steady clock to the clock of this host.
 //
-// A question sent at S and answered with the other's time T shows that T came
-// after S. So S - T bounds the difference of the clocks from below, and the
-// largest bound is the best: that of an answer which came at once. An answer
-// that the other held for a while then tells when it was given, not just when
-// it was asked for. Steady clocks part by `kMostDrift` at most; a bound loses
-// as much as it gets older.
+// A request sent at local time S and answered with the remote time T shows that
+// the remote clock read T after S. So S - T is a lower bound of the offset
+// between the clocks, and the largest bound is the most precise one: that of an
+// answer which came at once. With it, an answer that the other process held for
+// a while shows when it was given, and not just when it was requested. Steady
+// clocks drift apart by at most `kMaxDrift`; a bound loses precision at that
+// rate.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_REMOTE_CLOCK_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_REMOTE_CLOCK_H_
 
@@ -18,31 +19,34 @@
 
 class RemoteClock {
  public:
-  // Twice the most by which NTP slews a clock.
-  static constexpr double kMostDrift = 0.001;
-
-  // The other's `remote` came at the returned time or later, never before
-  // `sent_at`. The answer arrived at `now`.
-  TimeUs LocalTimeOf(TimeUs remote, TimeUs sent_at, TimeUs now) {
-    const DurationUs difference = sent_at - remote;
-    // What would put the answer into the future is of a clock before a restart.
-    const bool restarted = best_ && remote + Known(now) > now;
-    if (!best_ || restarted || difference >= Known(now)) {
-      best_ = {difference, now};
+  // Largest assumed drift per unit of time: twice the limit at which NTP slews
+  // a clock.
+  static constexpr double kMaxDrift = 0.001;
+
+  // Returns the earliest local time at which the remote clock can have shown
+  // `remote_time`; at least `sent_at`, when the request was sent. `now` is when
+  // the answer arrived.
+  TimeUs LocalTimeOf(TimeUs remote_time, TimeUs sent_at, TimeUs now) {
+    const DurationUs offset = sent_at - remote_time;
+    // If the bound put the answer into the future, it belongs to a clock from
+    // before a restart of the other process.
+    const bool restarted = best_ && remote_time + OffsetBound(now) > now;
+    if (!best_ || restarted || offset >= OffsetBound(now)) {
+      best_ = {offset, now};
     }
-    return std::max(sent_at, remote + Known(now));
+    return std::max(sent_at, remote_time + OffsetBound(now));
   }
 
  private:
   struct Bound {
-    DurationUs difference = 0;
-    TimeUs learnt_at = 0;
+    DurationUs offset = 0;
+    TimeUs measured_at = 0;
   };
 
-  DurationUs Known(TimeUs now) const {
+  DurationUs OffsetBound(TimeUs now) const {
     const auto drift = static_cast<DurationUs>(
-        kMostDrift * static_cast<double>(now - best_->learnt_at));
-    return best_->difference - drift;
+        kMaxDrift * static_cast<double>(now - best_->measured_at));
+    return best_->offset - drift;
   }
 
   std::optional<Bound> best_;
--- a/src/coordination/tables/store_questions.cc
+++ b/src/coordination/tables/store_questions.cc
@@ -9,43 +9,45 @@
     : table_(std::move(table)), store_(store) {}
 
 void StoreQuestions::Ask(TimeUs now, TableQuery query) {
-  if (!sent_.empty()) {
-    sent_.back().awaited = false;
+  if (!requests_.empty()) {
+    requests_.back().awaited = false;
   }
-  if (sent_.size() == kMost) {
-    store_->Forget(table_, sent_[1].id);
-    sent_.erase(sent_.begin() + 1);
+  if (requests_.size() == kMaxInFlight) {
+    store_->Forget(table_, requests_[1].id);
+    requests_.erase(requests_.begin() + 1);
   }
-  const DurationUs heard_for = query.wait + kHeard;
-  sent_.push_back({next_id_++, query, now, true});
-  store_->Ask({table_, sent_.back().id, std::move(query), heard_for});
+  const DurationUs heard_for = query.wait + kAnswerAcceptTimeout;
+  requests_.push_back({next_id_++, query, now, true});
+  store_->Ask({table_, requests_.back().id, std::move(query), heard_for});
 }
 
 std::optional<StoreQuestions::Sent> StoreQuestions::Take(std::uint64_t id) {
   const auto it =
-      std::find_if(sent_.begin(), sent_.end(),
+      std::find_if(requests_.begin(), requests_.end(),
                    [id](const Sent& sent) { return sent.id == id; });
-  if (it == sent_.end()) {
+  if (it == requests_.end()) {
     return std::nullopt;
   }
   Sent sent = std::move(*it);
-  sent_.erase(it);
+  requests_.erase(it);
   return sent;
 }
 
 const StoreQuestions::Sent* StoreQuestions::Awaited() const {
-  return !sent_.empty() && sent_.back().awaited ? &sent_.back() : nullptr;
+  return !requests_.empty() && requests_.back().awaited ? &requests_.back()
+                                                        : nullptr;
 }
 
-std::optional<StoreQuestions::Sent> StoreQuestions::GiveUp(TimeUs now,
-                                                           DurationUs in_time) {
+std::optional<StoreQuestions::Sent> StoreQuestions::TimeOutAwaited(
+    TimeUs now,
+    DurationUs timeout) {
   const Sent* const awaited = Awaited();
   if (awaited == nullptr ||
-      now - awaited->asked_at < awaited->query.wait + in_time) {
+      now - awaited->sent_at < awaited->query.wait + timeout) {
     return std::nullopt;
   }
-  sent_.back().awaited = false;
-  return sent_.back();
+  requests_.back().awaited = false;
+  return requests_.back();
 }
 
 }  // namespace acaciachute
--- a/src/coordination/tables/store_questions.h
+++ b/src/coordination/tables/store_questions.h
@@ -1,11 +1,11 @@
-// What the store was asked for one table and has not answered yet.
+// The requests to the store for one table that are not answered yet.
 //
-// Failure: the store answers everything, but late, or a question is lost with
-// its connection. Symptom: a host that hears only one answer at a time either
-// gives up a slow store, whose answers it never takes, or asks again only when
-// the lost question's time is over. So a question is no longer awaited after
-// `FreshnessPlan::store_in_time`, or when a newer one takes its place, but its
-// answer is taken until `kHeard`.
+// A store may answer every request late, or a request may be lost with its
+// connection. A host that accepts the answer to one request only would then
+// either give up on a slow store, whose answers it would never use, or ask
+// again only after the time limit of the lost request. So a request is no
+// longer awaited after `FreshnessPlan::store_timeout`, or when a newer one
+// replaces it, but its answer is accepted until `kAnswerAcceptTimeout`.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_QUESTIONS_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_QUESTIONS_H_
 
@@ -18,8 +18,9 @@
 
 namespace acaciachute {
 
-// The whole table from the key `from` on, or the changes after a version, for
-// which the store may be asked to wait.
+// Reads either the complete table from the key `from` on, or the changes after
+// the version `after`. The store may be asked to hold a request for changes for
+// `wait`.
 struct TableQuery {
   bool whole = false;
   std::string from;
@@ -31,50 +32,53 @@
   std::string table;
   std::uint64_t id = 0;  // Unique for the table.
   TableQuery query;
-  // Within which an answer is of use, from when it is asked.
+  // Time limit for the answer, counted from when the request is sent.
   DurationUs heard_for = 0;
 };
 
 class StoreReader {
  public:
   virtual ~StoreReader() = default;
-  // One answer follows each under its table and id, also on a timeout.
+  // Sends the request. Exactly one answer follows, with the same table and id,
+  // also after a time-out.
   virtual void Ask(const StoreQuestion& question) = 0;
-  // No answer follows any more.
+  // Cancels the request: no answer follows.
   virtual void Forget(const std::string& table, std::uint64_t id) = 0;
 };
 
 class StoreQuestions {
  public:
-  static constexpr DurationUs kHeard = 3 * kSecond;
-  // In progress at once. Beyond it the oldest, which a slow store answers
-  // first, and the newest are kept.
-  static constexpr std::size_t kMost = 3;
+  static constexpr DurationUs kAnswerAcceptTimeout = 3 * kSecond;
+  // Largest number of requests in flight. Beyond it the oldest, which a slow
+  // store answers first, and the newest are kept.
+  static constexpr std::size_t kMaxInFlight = 3;
 
   struct Sent {
     std::uint64_t id = 0;
     TableQuery query;
-    TimeUs asked_at = 0;
+    TimeUs sent_at = 0;
     bool awaited = true;
   };
 
   StoreQuestions(std::string table, StoreReader* store);
 
-  // In place of the one that is awaited, if there is one.
+  // Sends a request, which replaces the awaited one if there is one.
   void Ask(TimeUs now, TableQuery query);
-  // The question that this is the answer to; none when it was forgotten.
+  // Removes and returns the request with this id; empty if it was cancelled.
   std::optional<Sent> Take(std::uint64_t id);
-  // The one that is awaited; null when there is none.
+  // The awaited request; null if there is none.
   const Sent* Awaited() const;
-  // The one that was awaited, when it has been unanswered for `in_time` beyond
-  // what the store was asked to wait.
-  std::optional<Sent> GiveUp(TimeUs now, DurationUs in_time);
+  // If the awaited request has been unanswered for `timeout` beyond the time
+  // for which the store was asked to hold it, it is no longer awaited and is
+  // returned.
+  std::optional<Sent> TimeOutAwaited(TimeUs now, DurationUs timeout);
 
  private:
   const std::string table_;
   StoreReader* const store_;
   std::uint64_t next_id_ = 1;
-  std::vector<Sent> sent_;  // By age; only the last one may be awaited.
+  std::vector<Sent>
+      requests_;  // Oldest first; only the last one may be awaited.
 };
 
 }  // namespace acaciachute
--- a/src/coordination/tables/table_relay.cc
+++ b/src/coordination/tables/table_relay.cc
@@ -9,29 +9,30 @@
 TableRelay::TableRelay(std::string table, TableRelayOutput* output)
     : table_(std::move(table)), output_(output) {}
 
-// Rows that are no longer there were removed some time before: an asker that
-// knows them hears of it like of any other change, and need not read the whole
-// table because the store has dropped its history.
+// Rows that are missing from the new table were removed some time before. They
+// are recorded as removals, so a requester that still has them receives the
+// removal like any other change and need not read the complete table because
+// the store has dropped its history.
 void TableRelay::OnTable(const std::vector<TableRow>& rows,
                          std::uint64_t version) {
-  std::set<std::string> listed;
+  std::set<std::string> present;
   for (const TableRow& it : rows) {
-    listed.insert(it.key);
+    present.insert(it.key);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> missing;
   for (const auto& [key, row] : rows_) {
-    if (!listed.contains(key)) {
-      gone.push_back(key);
+    if (!present.contains(key)) {
+      missing.push_back(key);
     }
   }
-  for (const auto& key : gone) {
+  for (const auto& key : missing) {
     OnRow({key, "", version, true});
   }
   for (const TableRow& it : rows) {
     OnRow(it);
   }
   if (!known_) {
-    kept_from_ = version;
+    history_from_ = version;
   }
   known_ = true;
 }
@@ -39,153 +40,162 @@
 void TableRelay::OnRow(const TableRow& row) {
   if (const auto it = rows_.find(row.key); it != rows_.end()) {
     bytes_ -= it->second.value.size();
-    changed_.erase({it->second.version, row.key});
+    rows_by_version_.erase({it->second.version, row.key});
     rows_.erase(it);
   }
   if (const auto it = removed_.find(row.key); it != removed_.end()) {
-    gone_.erase({it->second, row.key});
+    removals_by_version_.erase({it->second, row.key});
     removed_.erase(it);
   }
   if (!row.removed) {
     bytes_ += row.value.size();
-    changed_.emplace(row.version, row.key);
+    rows_by_version_.emplace(row.version, row.key);
     rows_[row.key] = row;
     return;
   }
   removed_[row.key] = row.version;
-  gone_.emplace(row.version, row.key);
-  if (gone_.size() > kRemovedKept) {
-    const auto& [version, key] = *gone_.begin();
-    kept_from_ = std::max(kept_from_, version);
+  removals_by_version_.emplace(row.version, row.key);
+  if (removals_by_version_.size() > kMaxRemovedRows) {
+    const auto& [version, key] = *removals_by_version_.begin();
+    history_from_ = std::max(history_from_, version);
     removed_.erase(key);
-    gone_.erase(gone_.begin());
+    removals_by_version_.erase(removals_by_version_.begin());
   }
 }
 
 void TableRelay::OnCurrent(TimeUs known_at, std::uint64_t version) {
-  lost_ = false;
+  store_lost_ = false;
   known_at_ = std::max(known_at_, known_at);
   version_ = std::max(version_, version);
-  ReplyAll(&TableRelay::News);
+  ReplyAll(&TableRelay::ChangesSince);
 }
 
 void TableRelay::OnLost() {
-  if (!std::exchange(lost_, true)) {
-    ReplyAll(&TableRelay::WhenHeldLong);
+  if (!std::exchange(store_lost_, true)) {
+    ReplyAll(&TableRelay::HoldTimeoutAnswer);
   }
 }
 
-void TableRelay::ReplyAll(TableAnswer (TableRelay::*answer)(const Held&)
+void TableRelay::ReplyAll(TableAnswer (TableRelay::*answer)(const HeldRequest&)
                               const) {
-  for (const Held& it : std::exchange(held_, {})) {
+  for (const HeldRequest& it : std::exchange(held_requests_, {})) {
     Reply(it, (this->*answer)(it));
   }
 }
 
-void TableRelay::Reply(const Held& held, TableAnswer answer) {
+void TableRelay::Reply(const HeldRequest& held, TableAnswer answer) {
   output_->SendToPeer(
-      held.from, TableReply{table_, held.question.sequence, std::move(answer)});
+      held.from, TableReply{table_, held.request.sequence, std::move(answer)});
 }
 
-bool TableRelay::CanAnswer(const TableQuestion& it) const {
-  return known_ && (it.whole ? version_ >= it.after : it.after >= kept_from_);
+bool TableRelay::CanAnswer(const TableQuestion& request) const {
+  return known_ && (request.whole ? version_ >= request.after
+                                  : request.after >= history_from_);
 }
 
-bool TableRelay::HasNews(const TableQuestion& it) const {
-  const auto above = [&](const Changes& changes) {
-    return !changes.empty() && changes.rbegin()->first > it.after;
+bool TableRelay::HasChanges(const TableQuestion& request) const {
+  const auto has_newer = [&](const VersionIndex& changes) {
+    return !changes.empty() && changes.rbegin()->first > request.after;
   };
-  return version_ > it.after && (above(changed_) || above(gone_));
+  return version_ > request.after &&
+         (has_newer(rows_by_version_) || has_newer(removals_by_version_));
 }
 
-bool TableRelay::AnswersAtOnce(const Held& held) const {
-  const TableQuestion& it = held.question;
-  if (!CanAnswer(it)) {
-    return true;  // That it cannot.
+bool TableRelay::ShouldAnswerNow(const HeldRequest& held) const {
+  const TableQuestion& request = held.request;
+  if (!CanAnswer(request)) {
+    return true;  // The answer is that this gateway has no data for it.
   }
-  if (lost_ || version_ < it.after) {
+  if (store_lost_ || version_ < request.after) {
     return false;
   }
   const DurationUs age = held.arrived_at - known_at_;
-  return it.whole || it.wait == 0 || age + kWorthTelling < it.age ||
-         HasNews(it);
+  return request.whole || request.wait == 0 ||
+         age + kMinAgeGain < request.age || HasChanges(request);
 }
 
-TableAnswer TableRelay::News(const Held& held) const {
-  const TableQuestion& question = held.question;
+TableAnswer TableRelay::ChangesSince(const HeldRequest& held) const {
+  const TableQuestion& request = held.request;
   TableAnswer answer;
-  if (!known_ || (question.whole && bytes_ > kMostBytes)) {
-    answer.why = "the table is not held here";
+  if (!known_ || (request.whole && bytes_ > kMaxTableBytes)) {
+    answer.why =
+        "the relay has no copy of the table, or it exceeds one message";
     return answer;
   }
-  if (question.whole && version_ < question.after) {
-    answer.why = "an older table than the asker's";
+  if (request.whole && version_ < request.after) {
+    answer.why = "the relay has an older table than the requester";
     return answer;
   }
-  if (!question.whole && question.after < kept_from_) {
+  if (!request.whole && request.after < history_from_) {
     answer.kind = TableAnswer::Kind::kHistoryGone;
     return answer;
   }
   answer.kind = TableAnswer::Kind::kRows;
   answer.version = version_;
-  if (version_ < question.after) {
-    answer.known_after.reset();  // The asker knows more.
+  if (version_ < request.after) {
+    answer.known_after.reset();  // The requester has a newer version.
     return answer;
   }
   answer.known_after = known_at_ - held.arrived_at;
-  if (question.whole) {
+  if (request.whole) {
     answer.rows.reserve(rows_.size());
     for (const auto& [key, row] : rows_) {
       answer.rows.push_back(row);
     }
     return answer;
   }
-  if (version_ == question.after) {
+  if (version_ == request.after) {
     return answer;
   }
-  const std::pair<std::uint64_t, std::string> first{question.after + 1, ""};
-  for (auto it = changed_.lower_bound(first); it != changed_.end(); ++it) {
+  const std::pair<std::uint64_t, std::string> first{request.after + 1, ""};
+  for (auto it = rows_by_version_.lower_bound(first);
+       it != rows_by_version_.end(); ++it) {
     answer.rows.push_back(rows_.at(it->second));
   }
-  for (auto it = gone_.lower_bound(first); it != gone_.end(); ++it) {
+  for (auto it = removals_by_version_.lower_bound(first);
+       it != removals_by_version_.end(); ++it) {
     answer.rows.push_back({it->second, "", it->first, true});
   }
   return answer;
 }
 
-TableAnswer TableRelay::WhenHeldLong(const Held&) const {
+TableAnswer TableRelay::HoldTimeoutAnswer(const HeldRequest&) const {
   TableAnswer answer;
   answer.version = version_;
   answer.known_after.reset();
   answer.kind =
-      lost_ ? TableAnswer::Kind::kStoreLost : TableAnswer::Kind::kRows;
-  answer.why = lost_ ? "the store does not answer there" : "";
+      store_lost_ ? TableAnswer::Kind::kStoreLost : TableAnswer::Kind::kRows;
+  answer.why = store_lost_ ? "the store does not answer the relay" : "";
   return answer;
 }
 
 void TableRelay::OnQuestion(TimeUs now,
                             const NodeId& from,
-                            const TableQuestion& it) {
-  std::erase_if(held_, [&](const Held& held) { return held.from == from; });
-  const Held held{from, it, now, now + kMostHeld};
-  if (AnswersAtOnce(held)) {
-    Reply(held, News(held));
+                            const TableQuestion& request) {
+  std::erase_if(held_requests_,
+                [&](const HeldRequest& held) { return held.from == from; });
+  const HeldRequest held{from, request, now, now + kMaxHoldTime};
+  if (ShouldAnswerNow(held)) {
+    Reply(held, ChangesSince(held));
   } else {
-    held_.push_back(held);
+    held_requests_.push_back(held);
   }
 }
 
 void TableRelay::OnPeerLost(const NodeId& peer) {
-  std::erase_if(held_, [&](const Held& held) { return held.from == peer; });
+  std::erase_if(held_requests_,
+                [&](const HeldRequest& held) { return held.from == peer; });
 }
 
 void TableRelay::OnTick(TimeUs now) {
-  std::vector<Held> due;
-  std::copy_if(held_.begin(), held_.end(), std::back_inserter(due),
-               [&](const Held& it) { return now >= it.until; });
-  std::erase_if(held_, [&](const Held& it) { return now >= it.until; });
-  for (const Held& it : due) {
-    Reply(it, WhenHeldLong(it));
+  std::vector<HeldRequest> due;
+  std::copy_if(held_requests_.begin(), held_requests_.end(),
+               std::back_inserter(due),
+               [&](const HeldRequest& it) { return now >= it.answer_by; });
+  std::erase_if(held_requests_,
+                [&](const HeldRequest& it) { return now >= it.answer_by; });
+  for (const HeldRequest& it : due) {
+    Reply(it, HoldTimeoutAnswer(it));
   }
 }
 
--- a/src/coordination/tables/table_relay.h
+++ b/src/coordination/tables/table_relay.h
@@ -1,16 +1,17 @@
-// Answers other gateways' questions for a table of the store from what this one
-// knows of it.
+// Answers other gateways' requests for a table of the store from this gateway's
+// copy.
 //
-// Load pattern: a hundred gateways follow two tables of the store. Asking it
-// themselves they make a call each for every row that changes, and all read the
-// whole table when the store drops its history. A few that follow the store and
-// pass on what changed make that a few; `TableSource` says who asks whom.
+// A hundred gateways follow two tables of the store. If all asked the store
+// themselves, they would make one call each for every row that changes, and all
+// would read the complete table when the store drops its history. A few
+// gateways that follow the store and relay the changes reduce that to a few
+// calls; `TableSource` determines which gateway asks which.
 //
-// An answer never says that something is newer than it is: it carries the time
-// between the question's arrival and the moment at which this gateway's own
-// question to the store was sent, by this gateway's clock, so the asker counts
-// from its own question. Passing on through several gateways only makes it
-// older.
+// An answer never claims that data are newer than they are: it carries the time
+// between the arrival of the request and the moment at which this gateway sent
+// its own request to the store, by this gateway's clock, and the requester
+// counts from its own request. Relaying through several gateways only makes the
+// stated age larger.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_RELAY_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_RELAY_H_
 
@@ -35,65 +36,71 @@
 
 class TableRelay {
  public:
-  // A question without news is answered after this, so that its asker knows
-  // within a second that this gateway lives.
-  static constexpr DurationUs kMostHeld = 600 * kMillisecond;
-  // An asker whose knowledge is older than this one's by more is told at once.
-  static constexpr DurationUs kWorthTelling = 300 * kMillisecond;
-  // Rows that were removed; several times what an hour of replacements removes.
-  static constexpr std::size_t kRemovedKept = 4096;
-  // A whole table above this does not fit into one message.
-  static constexpr std::size_t kMostBytes = 3 << 20;
+  // How long a request is held while there are no changes, so that the
+  // requester knows within a second that this gateway is alive.
+  static constexpr DurationUs kMaxHoldTime = 600 * kMillisecond;
+  // A requester whose data are older than this gateway's by more than this is
+  // answered at once.
+  static constexpr DurationUs kMinAgeGain = 300 * kMillisecond;
+  // Number of removed rows that are remembered; several times as many as an
+  // hour of replacements removes.
+  static constexpr std::size_t kMaxRemovedRows = 4096;
+  // Size of a table above which it does not fit into one message.
+  static constexpr std::size_t kMaxTableBytes = 3 << 20;
 
   TableRelay(std::string table, TableRelayOutput* output);
 
-  // What this gateway learns of the table.
+  // Updates of this gateway's copy of the table.
   void OnTable(const std::vector<TableRow>& rows, std::uint64_t version);
   void OnRow(const TableRow& row);
   void OnCurrent(TimeUs known_at, std::uint64_t version);
   void OnLost();
 
-  void OnQuestion(TimeUs now, const NodeId& from, const TableQuestion& it);
+  void OnQuestion(TimeUs now, const NodeId& from, const TableQuestion& request);
   void OnPeerLost(const NodeId& peer);
-  // Answers what was held long enough; call it every 10 ms.
+  // Answers the requests that were held for `kMaxHoldTime`. Call it every 10
+  // ms.
   void OnTick(TimeUs now);
 
  private:
-  struct Held {
+  struct HeldRequest {
     NodeId from;
-    TableQuestion question;
+    TableQuestion request;
     TimeUs arrived_at = 0;
-    TimeUs until = 0;
+    TimeUs answer_by = 0;
   };
 
-  bool HasNews(const TableQuestion& it) const;
-  // Whether enough is known, be there news or not.
-  bool CanAnswer(const TableQuestion& it) const;
-  bool AnswersAtOnce(const Held& held) const;
-  void Reply(const Held& held, TableAnswer answer);
-  // All that is newer than the question asks for.
-  TableAnswer News(const Held& held) const;
-  // That there was no news, or that the store is lost here.
-  TableAnswer WhenHeldLong(const Held& held) const;
-  void ReplyAll(TableAnswer (TableRelay::*answer)(const Held&) const);
+  bool HasChanges(const TableQuestion& request) const;
+  // Whether the data here suffice for an answer, with or without changes.
+  bool CanAnswer(const TableQuestion& request) const;
+  bool ShouldAnswerNow(const HeldRequest& held) const;
+  void Reply(const HeldRequest& held, TableAnswer answer);
+  // All that changed after the version in the request.
+  TableAnswer ChangesSince(const HeldRequest& held) const;
+  // The answer after `kMaxHoldTime`: that there were no changes, or that this
+  // gateway does not reach the store.
+  TableAnswer HoldTimeoutAnswer(const HeldRequest& held) const;
+  void ReplyAll(TableAnswer (TableRelay::*answer)(const HeldRequest&) const);
 
   const std::string table_;
   TableRelayOutput* const output_;
   bool known_ = false;
-  bool lost_ = false;
-  TimeUs known_at_ = 0;  // The rows are what the store held then.
+  bool store_lost_ = false;
+  TimeUs known_at_ = 0;  // The rows are what the store held at this time.
   std::uint64_t version_ = 0;
-  std::uint64_t kept_from_ = 0;  // Removals above this version are known.
+  std::uint64_t history_from_ = 0;  // Removals after this version are known.
   std::map<std::string, TableRow> rows_;
-  std::map<std::string, std::uint64_t> removed_;  // With their versions.
-  // The same, by version, so that news costs what changed. A row that came
-  // while pages of the table were read may be above `version_`, from which its
-  // reader goes on; it is told again then.
-  using Changes = std::set<std::pair<std::uint64_t, std::string>>;
-  Changes changed_;
-  Changes gone_;
+  // By key: the version of the removal.
+  std::map<std::string, std::uint64_t> removed_;
+  // The keys of `rows_` and `removed_` in order of version, so that the cost of
+  // an update depends on what changed. A row that arrived while pages of the
+  // table were read may have a version above `version_`, from which its reader
+  // goes on; it is then sent a second time.
+  using VersionIndex = std::set<std::pair<std::uint64_t, std::string>>;
+  VersionIndex rows_by_version_;
+  VersionIndex removals_by_version_;
   std::size_t bytes_ = 0;
-  std::vector<Held> held_;
+  std::vector<HeldRequest> held_requests_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -9,7 +9,7 @@
 namespace acaciachute {
 namespace {
 
-constexpr std::string_view kStore = "store";
+constexpr std::string_view kStoreSource = "store";
 
 }  // namespace
 
@@ -45,93 +45,95 @@
   Begin(now, {false, "", after, wait});
 }
 
-bool TableSource::RelaysFail() const {
-  return peer_failures_ >= kFailuresUntilStore;
+bool TableSource::RelaysFailed() const {
+  return relay_failures_ >= kRelayFailuresBeforeStore;
 }
 
 bool TableSource::IsOld(TimeUs now) const {
-  return now - known_at_ >= plan_->ask_store;
+  return now - known_at_ >= plan_->store_request_age;
 }
 
-void TableSource::AskStoreWhenOld(TimeUs now) {
+void TableSource::RequestFromStoreIfOld(TimeUs now) {
   const StoreQuestions::Sent* const awaited = store_questions_.Awaited();
-  const bool held = awaited != nullptr && awaited->query.wait > 0;
-  if (!IsWanted() || known_at_ < 0 || !IsOld(now) || !MayAskStore(now) ||
-      (awaited != nullptr && !held)) {
+  const bool held_by_store = awaited != nullptr && awaited->query.wait > 0;
+  if (!NeedsAnswer() || known_at_ < 0 || !IsOld(now) ||
+      !MayRequestFromStore(now) || (awaited != nullptr && !held_by_store)) {
     return;
   }
   metrics_->Count("acaciachute_gateway_table_old_total", table_);
   log_->Write("table_old", {{"table", table_},
                             {"known_ms", (now - known_at_) / kMillisecond},
                             {"version", version_},
-                            {"relay", peer_call_.peer}});
-  SendToStore(now);
+                            {"relay", relay_request_.peer}});
+  SendStoreRequest(now);
 }
 
-bool TableSource::MayAskStore(TimeUs now) const {
-  return !store_failed_ || now >= store_next_at_;
+bool TableSource::MayRequestFromStore(TimeUs now) const {
+  return !store_failed_ || now >= next_store_request_at_;
 }
 
-bool TableSource::AsksStoreFirst() const {
-  return peers_->relay_plan().others.empty() || peers_->relay_plan().is_relay;
+bool TableSource::PrefersStore() const {
+  return peers_->relay_plan().relays.empty() || peers_->relay_plan().is_relay;
 }
 
-// A relay asks the store, and another gateway too while the store fails. A
-// follower asks a relay, and the store too while relays fail. A later page of a
-// table is the store's: relays send theirs whole.
+// A relay asks the store, and while the store fails also another gateway. A
+// follower asks a relay, and while relays fail also the store. Later pages of a
+// table are always read from the store: relays send their tables in one
+// message.
 void TableSource::Begin(TimeUs now, TableQuery query) {
-  question_ = {State::kOpen, std::move(query), now};
-  peer_call_ = {};
-  const bool later_page = !question_.query.from.empty();
-  const bool store_helps = RelaysFail() && MayAskStore(now);
-  if (later_page || AsksStoreFirst() || store_helps) {
-    AskStore(now);
+  read_ = {State::kOpen, std::move(query), now};
+  relay_request_ = {};
+  const bool later_page = !read_.query.from.empty();
+  const bool ask_store_too = RelaysFailed() && MayRequestFromStore(now);
+  if (later_page || PrefersStore() || ask_store_too) {
+    RequestFromStore(now);
   } else {
-    AskStoreWhenOld(now);
+    RequestFromStoreIfOld(now);
   }
-  const bool peer_helps = !AsksStoreFirst() || store_failed_;
-  if (!later_page && peer_helps) {
-    AskPeer(now);
+  const bool ask_relay = !PrefersStore() || store_failed_;
+  if (!later_page && ask_relay) {
+    RequestFromRelay(now);
   }
-  if (peer_call_.peer.empty()) {
-    AskStore(now);
+  if (relay_request_.peer.empty()) {
+    RequestFromStore(now);
   }
 }
 
-void TableSource::AskStore(TimeUs now) {
+void TableSource::RequestFromStore(TimeUs now) {
   if (store_questions_.Awaited() == nullptr) {
-    SendToStore(now);
+    SendStoreRequest(now);
   }
 }
 
-void TableSource::SendToStore(TimeUs now) {
-  // Half of it at random, so that many gateways do not ask it together.
-  const DurationUs half = plan_->store_again / 2;
-  store_next_at_ =
+void TableSource::SendStoreRequest(TimeUs now) {
+  // Half of the period is random, so that gateways do not ask the store at the
+  // same time.
+  const DurationUs half = plan_->store_retry_period / 2;
+  next_store_request_at_ =
       now + half +
       static_cast<DurationUs>(random_->Below(static_cast<std::uint64_t>(half)));
-  TableQuery query = question_.query;
+  TableQuery query = read_.query;
   if (IsOld(now)) {
     query.wait = 0;
   }
-  metrics_->Count("acaciachute_gateway_table_questions_total", kStore);
-  if (peer_call_.peer.empty()) {
-    TellSource(now, std::string(kStore), why_);
+  metrics_->Count("acaciachute_gateway_table_questions_total", kStoreSource);
+  if (relay_request_.peer.empty()) {
+    LogSource(now, std::string(kStoreSource), last_failure_);
   }
   store_questions_.Ask(now, std::move(query));
 }
 
-// The store may serve just those that are no relays: relays that find no other
-// ask any gateway, each second time.
-NodeId TableSource::Choose(TimeUs now) {
-  if (RelaysFail() && AsksStoreFirst() && random_->Below(2) == 0) {
+// The store may be reachable only for gateways that are not relays. So a relay
+// that finds no other relay asks any live gateway half of the time.
+NodeId TableSource::ChooseRelay(TimeUs now) {
+  if (RelaysFailed() && PrefersStore() && random_->Below(2) == 0) {
     return peers_->AnyLive(random_);
   }
   const NodeId* best = nullptr;
   TimeUs best_until = 0;
-  for (const NodeId& it : peers_->relay_plan().others) {
-    const auto shunned = shunned_until_.find(it);
-    const TimeUs until = shunned == shunned_until_.end() ? 0 : shunned->second;
+  for (const NodeId& it : peers_->relay_plan().relays) {
+    const auto backoff = backoff_until_.find(it);
+    const TimeUs until = backoff == backoff_until_.end() ? 0 : backoff->second;
     if (until <= now) {
       return it;
     }
@@ -143,20 +145,20 @@
   return best == nullptr ? NodeId() : *best;
 }
 
-void TableSource::AskPeer(TimeUs now) {
-  const NodeId peer = Choose(now);
+void TableSource::RequestFromRelay(TimeUs now) {
+  const NodeId peer = ChooseRelay(now);
   if (peer.empty()) {
     return;
   }
-  peer_call_ = {peer, ++next_sequence_, now};
+  relay_request_ = {peer, ++next_sequence_, now};
   metrics_->Count("acaciachute_gateway_table_questions_total", "relay");
-  TellSource(now, peer, why_);
+  LogSource(now, peer, last_failure_);
   TableQuestion it;
   it.table = table_;
-  it.sequence = peer_call_.sequence;
-  it.whole = question_.query.whole;
-  it.after = question_.query.whole ? version_ : question_.query.after;
-  it.wait = question_.query.wait;
+  it.sequence = relay_request_.sequence;
+  it.whole = read_.query.whole;
+  it.after = read_.query.whole ? version_ : read_.query.after;
+  it.wait = read_.query.wait;
   it.age = known_at_ < 0 ? std::numeric_limits<DurationUs>::max() / 2
                          : now - known_at_;
   output_->SendToPeer(peer, it);
@@ -170,49 +172,51 @@
     return;
   }
   if (answer.kind == TableAnswer::Kind::kFailed) {
-    // One that is not awaited failed already, or a newer one is.
+    // A request that is no longer awaited has failed already or was replaced by
+    // a newer one.
     if (sent->awaited) {
-      OnStoreFailed(now, sent->asked_at, answer);
+      OnStoreFailed(now, sent->sent_at, answer);
     }
     return;
   }
-  TellLate(now, *sent);
+  LogLateAnswer(now, *sent);
   store_failed_ = false;
   if (answer.store_time && answer.known_after) {
     answer.known_after =
-        store_clock_.LocalTimeOf(*answer.store_time, sent->asked_at, now) -
-        sent->asked_at;
+        store_clock_.LocalTimeOf(*answer.store_time, sent->sent_at, now) -
+        sent->sent_at;
   }
   if (answer.kind == TableAnswer::Kind::kHistoryGone) {
     answer.known_after.reset();
     answer.version = sent->query.after;
   }
-  if (Fits(*sent, answer)) {
-    Finish(now, sent->asked_at, std::move(answer));
-  } else if (IsOpen() && peer_call_.peer.empty()) {
-    AskStore(now);
+  if (AnswersRead(*sent, answer)) {
+    Finish(now, sent->sent_at, std::move(answer));
+  } else if (IsOpen() && relay_request_.peer.empty()) {
+    RequestFromStore(now);
   }
 }
 
-// Of a reading that failed, the first page is: a new one begins with it.
-bool TableSource::IsWanted() const {
+// After a failed read, only an answer to the request for the first page is
+// needed, as the next read starts with it.
+bool TableSource::NeedsAnswer() const {
   return IsOpen() ||
-         (question_.state == State::kFailed && question_.query.from.empty());
+         (read_.state == State::kFailed && read_.query.from.empty());
 }
 
-// A relay may have answered the question that this one was; what changed since
-// then is in the answer too.
-bool TableSource::Fits(const StoreQuestions::Sent& sent,
-                       const TableAnswer& answer) const {
-  const TableQuery& query = question_.query;
-  return IsWanted() && sent.query.whole == query.whole &&
+// The read that the store request was sent for may have been answered by a
+// relay meanwhile. The store's answer then contains the later changes too.
+bool TableSource::AnswersRead(const StoreQuestions::Sent& sent,
+                              const TableAnswer& answer) const {
+  const TableQuery& query = read_.query;
+  return NeedsAnswer() && sent.query.whole == query.whole &&
          sent.query.from == query.from &&
          (query.whole || answer.version >= query.after);
 }
 
-void TableSource::TellLate(TimeUs now, const StoreQuestions::Sent& sent) {
-  const DurationUs took = now - sent.asked_at;
-  if (sent.awaited || took < sent.query.wait + StoreInTime()) {
+void TableSource::LogLateAnswer(TimeUs now, const StoreQuestions::Sent& sent) {
+  const DurationUs took = now - sent.sent_at;
+  if (sent.awaited || took < sent.query.wait + StoreTimeout()) {
     return;
   }
   metrics_->Count("acaciachute_gateway_table_late_total", table_);
@@ -222,15 +226,17 @@
 }
 
 void TableSource::OnStoreFailed(TimeUs now,
-                                TimeUs asked_at,
+                                TimeUs sent_at,
                                 const TableAnswer& answer) {
-  // One refusal, as of a call beyond the store's rate, is no outage yet.
+  // A single refusal, for example because of the store's rate limit, is not yet
+  // an outage.
   if (!std::exchange(store_failed_, true) && !relay_lost_store_) {
-    store_next_at_ = std::min(store_next_at_, now + kStoreSoon);
+    next_store_request_at_ =
+        std::min(next_store_request_at_, now + kStoreFirstRetryDelay);
   }
-  store_failed_at_ = asked_at;
-  why_ = answer.why;
-  if (IsOpen() && peer_call_.peer.empty()) {
+  store_failed_at_ = sent_at;
+  last_failure_ = answer.why;
+  if (IsOpen() && relay_request_.peer.empty()) {
     Fail(now, answer);
   }
 }
@@ -238,9 +244,9 @@
 void TableSource::OnReply(TimeUs now,
                           const NodeId& from,
                           const TableReply& reply) {
-  if (!IsOpen() || from != peer_call_.peer ||
-      reply.sequence != peer_call_.sequence) {
-    return;  // Late: another one was asked meanwhile.
+  if (!IsOpen() || from != relay_request_.peer ||
+      reply.sequence != relay_request_.sequence) {
+    return;  // A late answer: another relay was asked meanwhile.
   }
   switch (reply.answer.kind) {
     case TableAnswer::Kind::kFailed:
@@ -256,41 +262,44 @@
       OnPeerAnswer(now, reply.answer);
       return;
   }
-  OnPeerFailed(now, "an answer of an unknown kind");
+  OnPeerFailed(now, "the relay sent an answer of an unknown kind");
 }
 
 void TableSource::OnStoreLostAtPeer(TimeUs now, const TableAnswer& answer) {
   relay_lost_store_ = true;
-  shunned_until_[peer_call_.peer] = now + kShunWithoutStore;
-  why_ = answer.why;
-  ++peer_failures_;
-  peer_call_ = {};
-  if (RelaysFail() && MayAskStore(now)) {
-    AskStore(now);
+  backoff_until_[relay_request_.peer] = now + kStorelessRelayBackoff;
+  last_failure_ = answer.why;
+  ++relay_failures_;
+  relay_request_ = {};
+  if (RelaysFailed() && MayRequestFromStore(now)) {
+    RequestFromStore(now);
   }
   const bool store_is_lost =
       store_failed_ && store_questions_.Awaited() == nullptr;
-  if (store_is_lost && !MayAskStore(now)) {
+  if (store_is_lost && !MayRequestFromStore(now)) {
     Fail(now, answer);
     return;
   }
-  AskPeer(now);  // Which may hold the question until the store is back.
-  if (peer_call_.peer.empty()) {
-    AskStore(now);
+  RequestFromRelay(
+      now);  // The relay may hold the request until the store is back.
+  if (relay_request_.peer.empty()) {
+    RequestFromStore(now);
   }
 }
 
-// A gateway that started later knows no changes from before its start. The
-// store keeps them: a few rows in place of the whole table.
+// A relay that started later than this gateway does not have the changes from
+// before its start. The store keeps them, so this gateway reads a few rows from
+// it instead of the complete table.
 void TableSource::OnHistoryGoneAtPeer(TimeUs now, const TableAnswer& answer) {
-  if (store_failed_ || question_.query.whole) {
+  if (store_failed_ || read_.query.whole) {
     OnPeerAnswer(now, answer);
     return;
   }
-  why_ = "no changes from so long ago";
-  peer_call_ = {};
-  question_.query.wait = 0;
-  AskStore(now);
+  last_failure_ =
+      "the relay no longer has the changes since this gateway's version";
+  relay_request_ = {};
+  read_.query.wait = 0;
+  RequestFromStore(now);
 }
 
 void TableSource::OnPeerAnswer(TimeUs now, TableAnswer answer) {
@@ -298,118 +307,119 @@
   if (!rows) {
     answer.known_after.reset();
   }
-  if (rows && question_.query.whole && !answer.known_after) {
-    OnPeerFailed(now, "no whole table");
+  if (rows && read_.query.whole && !answer.known_after) {
+    OnPeerFailed(now, "the relay did not send the complete table");
     return;
   }
-  const TimeUs asked_at = peer_call_.asked_at;
+  const TimeUs sent_at = relay_request_.sent_at;
   const TimeUs known_at =
-      answer.known_after ? asked_at + *answer.known_after : known_at_;
+      answer.known_after ? sent_at + *answer.known_after : known_at_;
   if (known_at_ >= 0 &&
-      now - std::max(known_at, known_at_) >= plan_->ask_store) {
-    OnPeerFailed(now, "what it knows is old");
+      now - std::max(known_at, known_at_) >= plan_->store_request_age) {
+    OnPeerFailed(now, "the data of the relay are too old");
     return;
   }
-  const TableQuery& query = question_.query;
+  const TableQuery& query = read_.query;
   if (answer.version < query.after) {
-    answer.rows.clear();  // The asker knows more.
+    answer.rows.clear();  // This gateway has a newer version.
     answer.version = query.after;
     answer.known_after.reset();
   }
   std::erase_if(answer.rows, [&](const TableRow& it) {
     return !query.whole && it.version <= query.after;
   });
-  peer_failures_ = 0;
-  shunned_until_.erase(peer_call_.peer);
-  Finish(now, asked_at, std::move(answer));
+  relay_failures_ = 0;
+  backoff_until_.erase(relay_request_.peer);
+  Finish(now, sent_at, std::move(answer));
 }
 
-void TableSource::OnPeerFailed(TimeUs now, std::string_view why) {
-  shunned_until_[peer_call_.peer] = now + kShun;
-  why_ = why;
-  peer_call_ = {};
-  ++peer_failures_;
-  if ((RelaysFail() || IsOld(now)) && MayAskStore(now)) {
-    AskStore(now);
+void TableSource::OnPeerFailed(TimeUs now, std::string_view reason) {
+  backoff_until_[relay_request_.peer] = now + kRelayBackoff;
+  last_failure_ = reason;
+  relay_request_ = {};
+  ++relay_failures_;
+  if ((RelaysFailed() || IsOld(now)) && MayRequestFromStore(now)) {
+    RequestFromStore(now);
   }
-  if (!RelaysFail()) {
-    AskPeer(now);
+  if (!RelaysFailed()) {
+    RequestFromRelay(now);
   }
-  if (peer_call_.peer.empty() && MayAskStore(now)) {
-    AskStore(now);
+  if (relay_request_.peer.empty() && MayRequestFromStore(now)) {
+    RequestFromStore(now);
   }
-  if (!peer_call_.peer.empty() || store_questions_.Awaited() != nullptr) {
+  if (!relay_request_.peer.empty() || store_questions_.Awaited() != nullptr) {
     return;
   }
   TableAnswer failed;
-  failed.why = why_;
+  failed.why = last_failure_;
   Fail(now, failed);
 }
 
 void TableSource::OnPeerLost(TimeUs now, const NodeId& peer) {
-  if (IsOpen() && peer == peer_call_.peer) {
-    OnPeerFailed(now, "no connection");
+  if (IsOpen() && peer == relay_request_.peer) {
+    OnPeerFailed(now, "the connection to the relay broke or could not be made");
   }
 }
 
 void TableSource::OnTick(TimeUs now) {
-  GiveUpStore(now);
-  if (IsOpen() && !peer_call_.peer.empty() &&
-      now - peer_call_.asked_at > TableRelay::kMostHeld + kReplyTime) {
-    OnPeerFailed(now, "no answer in time");
+  CheckStoreTimeout(now);
+  if (IsOpen() && !relay_request_.peer.empty() &&
+      now - relay_request_.sent_at >
+          TableRelay::kMaxHoldTime + kRelayReplyMargin) {
+    OnPeerFailed(now, "no answer from the relay within 950 ms");
   }
-  AskStoreWhenOld(now);
+  RequestFromStoreIfOld(now);
 }
 
-DurationUs TableSource::StoreInTime() const {
-  return store_failed_ ? std::min(kStoreProbe, plan_->store_in_time)
-                       : plan_->store_in_time;
+DurationUs TableSource::StoreTimeout() const {
+  return store_failed_ ? std::min(kStoreProbeTimeout, plan_->store_timeout)
+                       : plan_->store_timeout;
 }
 
-void TableSource::GiveUpStore(TimeUs now) {
-  const auto sent = store_questions_.GiveUp(now, StoreInTime());
+void TableSource::CheckStoreTimeout(TimeUs now) {
+  const auto sent = store_questions_.TimeOutAwaited(now, StoreTimeout());
   if (!sent) {
     return;
   }
   TableAnswer failed;
-  failed.why = "no answer in time";
-  OnStoreFailed(now, sent->asked_at, failed);
+  failed.why = "the store did not answer within its time limit";
+  OnStoreFailed(now, sent->sent_at, failed);
 }
 
-void TableSource::Finish(TimeUs now, TimeUs asked_at, TableAnswer answer) {
+void TableSource::Finish(TimeUs now, TimeUs sent_at, TableAnswer answer) {
   if (answer.known_after) {
-    const TimeUs known_at = asked_at + *answer.known_after;
+    const TimeUs known_at = sent_at + *answer.known_after;
     known_at_ = std::max(known_at_, known_at);
-    answer.known_after = known_at - question_.asked_at;
+    answer.known_after = known_at - read_.sent_at;
     version_ = std::max(version_, answer.version);
   }
-  question_.state = State::kAnswered;
-  peer_call_ = {};
+  read_.state = State::kAnswered;
+  relay_request_ = {};
   relay_lost_store_ = false;
   on_answer_(now, answer);
 }
 
 void TableSource::Fail(TimeUs now, const TableAnswer& answer) {
-  question_.state = State::kFailed;
-  peer_call_ = {};
+  read_.state = State::kFailed;
+  relay_request_ = {};
   on_answer_(now, answer);
 }
 
-void TableSource::TellSource(TimeUs now,
-                             const std::string& source,
-                             std::string_view why) {
-  if (source == told_source_) {
+void TableSource::LogSource(TimeUs now,
+                            const std::string& source,
+                            std::string_view reason) {
+  if (source == logged_source_) {
     return;
   }
   log_->Write(
       "table_source",
       {{"table", table_},
        {"source", source},
-       {"before", told_source_},
-       {"why", why},
+       {"before", logged_source_},
+       {"why", reason},
        {"age_ms", known_at_ < 0 ? -1 : (now - known_at_) / kMillisecond}});
-  told_source_ = source;
-  why_.clear();
+  logged_source_ = source;
+  last_failure_.clear();
 }
 
 }  // namespace acaciachute
--- a/src/coordination/tables/table_source.h
+++ b/src/coordination/tables/table_source.h
@@ -1,18 +1,19 @@
-// Whom this gateway asks for a table: the store, or a gateway that follows it.
+// Chooses where this gateway reads a table from: the store, or a gateway that
+// follows the store.
 //
-// Of each failure domain one gateway in `RelayPlan::kFollowersARelay` asks
-// the store, the others ask that one, or one of another domain when theirs does
-// not answer, and the store itself when several do not. All gateways answer
-// each other's questions (see `TableRelay`), so it does no harm when two
-// disagree about who asks whom: answers carry their age, and one that gets old
-// is given up like one that is silent.
+// In each failure domain, one gateway per `RelayPlan::kFollowersPerRelay` asks
+// the store. The others ask that relay; if it does not answer, a relay of
+// another domain; and if several do not answer, the store itself. All gateways
+// answer each other's requests (see `TableRelay`), so it does no harm if two
+// disagree about the relays: answers carry their age, and a relay whose answers
+// become old is treated like one that does not answer.
 //
-// Failure: the gateway that is asked dies, freezes, is cut off, lags behind, or
-// is turned away by the store. Symptom: those that follow it go on under a
-// configuration that was replaced, or refuse all requests with keys once the
-// bound on their age is over. Most of these are noticed within a second. None
-// need be: when what is known is as old as `FreshnessPlan` allows, the store
-// itself is asked.
+// The relay may crash, freeze, be cut off, lag behind, or be refused by the
+// store. Its followers would then use a configuration that was replaced, or
+// refuse all requests with keys once the bound on the age of their data is
+// exceeded. Most of these failures are detected within a second. None has to
+// be: when the data are as old as `FreshnessPlan` allows, the store itself is
+// asked.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_SOURCE_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_SOURCE_H_
 
@@ -39,21 +40,24 @@
 
 class TableSource : public TableReader {
  public:
-  // Beyond the time for which a relay holds a question: a connection and an
-  // answer on a host that is short of its processor.
-  static constexpr DurationUs kReplyTime = 350 * kMillisecond;
-  // A relay that failed is passed over for this long: a beat of one among a
-  // hundred gateways, which tells whether it lives.
-  static constexpr DurationUs kShun = 3 * kSecond;
-  // One that does not reach the store either: it may be back soon.
-  static constexpr DurationUs kShunWithoutStore = kSecond;
-  // Relays that fail one after the other until the store itself is asked.
-  static constexpr int kFailuresUntilStore = 3;
-  // While the store fails, its answer is awaited for this long at most: it is
-  // asked anew soon after its return, and late answers are taken.
-  static constexpr DurationUs kStoreProbe = 700 * kMillisecond;
-  // After a first failure that no relay has met too, the store is asked again.
-  static constexpr DurationUs kStoreSoon = 100 * kMillisecond;
+  // Time limit for a relay's answer beyond the time for which it holds a
+  // request: covers a connection and an answer on a host that is short of
+  // processor time.
+  static constexpr DurationUs kRelayReplyMargin = 350 * kMillisecond;
+  // Time for which a relay that failed is skipped: one heartbeat period of a
+  // gateway among a hundred, which shows whether it is alive.
+  static constexpr DurationUs kRelayBackoff = 3 * kSecond;
+  // Time for which a relay that does not reach the store either is skipped: it
+  // may reach it again soon.
+  static constexpr DurationUs kStorelessRelayBackoff = kSecond;
+  // Number of successive relay failures after which the store itself is asked.
+  static constexpr int kRelayFailuresBeforeStore = 3;
+  // Time limit of a store request while the store fails, so that it is asked
+  // again soon after it returns. Late answers are still used.
+  static constexpr DurationUs kStoreProbeTimeout = 700 * kMillisecond;
+  // Longest delay until the store is asked again after its first failure,
+  // unless a relay has lost the store too.
+  static constexpr DurationUs kStoreFirstRetryDelay = 100 * kMillisecond;
 
   using AnswerFn = std::function<void(TimeUs now, const TableAnswer& answer)>;
 
@@ -67,10 +71,10 @@
               EventLog* log,
               AnswerFn on_answer);
 
-  // TableReader. One answer follows each, through `on_answer`. It is a failure
-  // only when the store itself did not answer this gateway in time: a relay
-  // that lost the store says nothing of the store. The answer of a store that
-  // is slow may follow a failure.
+  // TableReader. Exactly one answer to each call follows through `on_answer`.
+  // It is a failure only if the store itself did not answer this gateway in
+  // time: that a relay lost the store does not show that the store failed. The
+  // answer of a slow store may follow a failure.
   void ReadRows(TimeUs now,
                 const std::string& table,
                 const std::string& from) override;
@@ -81,58 +85,63 @@
 
   void OnStoreAnswer(TimeUs now, std::uint64_t id, TableAnswer answer);
   void OnReply(TimeUs now, const NodeId& from, const TableReply& reply);
-  // Its connection broke, or none could be made.
+  // The connection to the peer broke, or none could be made.
   void OnPeerLost(TimeUs now, const NodeId& peer);
-  // Ends what takes too long; call it every 10 ms.
+  // Ends requests that exceed their time limits. Call it every 10 ms.
   void OnTick(TimeUs now);
 
-  // When the question that the store last failed to answer was sent; negative:
+  // When the last request that the store failed to answer was sent; negative if
   // it never failed.
   TimeUs store_failed_at() const { return store_failed_at_; }
 
  private:
   enum class State { kOpen, kAnswered, kFailed };
-  struct Question {
+  struct TableRead {
     State state = State::kAnswered;
     TableQuery query;
-    TimeUs asked_at = 0;
+    TimeUs sent_at = 0;
   };
-  struct PeerCall {
-    NodeId peer;  // Empty: none is asked.
+  struct RelayRequest {
+    NodeId peer;  // Empty if no relay is asked.
     std::uint64_t sequence = 0;
-    TimeUs asked_at = 0;
+    TimeUs sent_at = 0;
   };
 
   void Begin(TimeUs now, TableQuery query);
-  // Unless one question to it is awaited already.
-  void AskStore(TimeUs now);
-  void SendToStore(TimeUs now);
-  void AskPeer(TimeUs now);
-  // The relay to ask; empty when there is none.
-  NodeId Choose(TimeUs now);
-  bool AsksStoreFirst() const;
-  bool RelaysFail() const;
-  // While the store does not answer, it is asked now and then.
-  bool MayAskStore(TimeUs now) const;
-  // Whether the store itself has to be asked, because what is known is old.
+  // Sends a request to the store, unless one is awaited already.
+  void RequestFromStore(TimeUs now);
+  void SendStoreRequest(TimeUs now);
+  void RequestFromRelay(TimeUs now);
+  // The relay to ask; empty if there is none.
+  NodeId ChooseRelay(TimeUs now);
+  bool PrefersStore() const;
+  bool RelaysFailed() const;
+  // Whether the store may be asked now: while it fails, only when the next
+  // retry is due.
+  bool MayRequestFromStore(TimeUs now) const;
+  // Whether the data are so old that the store itself has to be asked.
   bool IsOld(TimeUs now) const;
-  DurationUs StoreInTime() const;
-  void GiveUpStore(TimeUs now);
-  void AskStoreWhenOld(TimeUs now);
-  // Whether an answer is of use; also one that comes after the failure.
-  bool IsWanted() const;
-  // Whether this is one.
-  bool Fits(const StoreQuestions::Sent& sent, const TableAnswer& answer) const;
-  void TellLate(TimeUs now, const StoreQuestions::Sent& sent);
-  void OnStoreFailed(TimeUs now, TimeUs asked_at, const TableAnswer& answer);
-  bool IsOpen() const { return question_.state == State::kOpen; }
+  DurationUs StoreTimeout() const;
+  void CheckStoreTimeout(TimeUs now);
+  void RequestFromStoreIfOld(TimeUs now);
+  // Whether an answer is still needed, either to an open read or, after its
+  // failure, to a read that starts at the first row.
+  bool NeedsAnswer() const;
+  // Whether an answer to the store request `sent` answers the current read.
+  bool AnswersRead(const StoreQuestions::Sent& sent,
+                   const TableAnswer& answer) const;
+  void LogLateAnswer(TimeUs now, const StoreQuestions::Sent& sent);
+  void OnStoreFailed(TimeUs now, TimeUs sent_at, const TableAnswer& answer);
+  bool IsOpen() const { return read_.state == State::kOpen; }
   void OnStoreLostAtPeer(TimeUs now, const TableAnswer& answer);
   void OnHistoryGoneAtPeer(TimeUs now, const TableAnswer& answer);
   void OnPeerAnswer(TimeUs now, TableAnswer answer);
-  void OnPeerFailed(TimeUs now, std::string_view why);
-  void Finish(TimeUs now, TimeUs asked_at, TableAnswer answer);
+  void OnPeerFailed(TimeUs now, std::string_view reason);
+  void Finish(TimeUs now, TimeUs sent_at, TableAnswer answer);
   void Fail(TimeUs now, const TableAnswer& answer);
-  void TellSource(TimeUs now, const std::string& source, std::string_view why);
+  void LogSource(TimeUs now,
+                 const std::string& source,
+                 std::string_view reason);
 
   const std::string table_;
   const FreshnessPlan* const plan_;
@@ -143,21 +152,24 @@
   EventLog* const log_;
   const AnswerFn on_answer_;
 
-  Question question_;
+  TableRead read_;
   StoreQuestions store_questions_;
-  PeerCall peer_call_;
+  RelayRequest relay_request_;
   RemoteClock store_clock_;
   std::uint64_t next_sequence_ = 0;
-  TimeUs known_at_ = -1;       // The last answer's; negative: none.
-  std::uint64_t version_ = 0;  // The highest that was answered.
+  // Time of the last answer's data; negative if there is none.
+  TimeUs known_at_ = -1;
+  std::uint64_t version_ = 0;  // Highest version received.
   bool store_failed_ = false;
-  TimeUs store_failed_at_ = -1;    // When the last one that failed was asked.
-  int peer_failures_ = 0;          // In a row.
-  bool relay_lost_store_ = false;  // So one said since the last answer.
-  TimeUs store_next_at_ = 0;
-  std::map<NodeId, TimeUs> shunned_until_;
-  std::string told_source_;  // Who was asked last, as the log has it.
-  std::string why_;          // The last failure, for the log.
+  TimeUs store_failed_at_ = -1;  // See `store_failed_at`.
+  int relay_failures_ = 0;       // Successive.
+  // Whether a relay reported since the last answer that it does not reach the
+  // store.
+  bool relay_lost_store_ = false;
+  TimeUs next_store_request_at_ = 0;
+  std::map<NodeId, TimeUs> backoff_until_;
+  std::string logged_source_;  // The source that was logged last.
+  std::string last_failure_;   // Reason of the last failure, for the log.
 };
 
 }  // namespace acaciachute
--- a/src/coordination/tables/table_watch.h
+++ b/src/coordination/tables/table_watch.h
@@ -1,12 +1,13 @@
-// Follows one table of the platform's store: the whole of it first, then its
-// changes, with the moment up to which it is known to be current.
+// Follows one table of the platform's store: reads the complete table first and
+// then its changes, and keeps the time up to which the copy is current.
 //
-// Failure: answers are lost, late or stale, the history is dropped, the
-// connection falls silent, or the store turns this host away. Symptom: a host
-// goes on under a configuration that was replaced, or loses replicas that live.
-// Each call has a time limit; what is older than what is known is passed over;
-// after a gap the whole table is read again. Being current counts from when the
-// question was sent: its answer may have waited anywhere.
+// Answers may be lost, late or stale, the store may drop its history, the
+// connection may stall, or the store may refuse this host. A host would then
+// use a configuration that was replaced, or lose replicas that are alive. So
+// each call has a time limit; answers older than the copy are ignored; and
+// after a gap in the history the complete table is read again. The age of the
+// copy counts from when the request was sent, because its answer may have been
+// delayed anywhere.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_WATCH_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_TABLE_WATCH_H_
 
@@ -25,8 +26,8 @@
 class TableReader {
  public:
   virtual ~TableReader() = default;
-  // One answer follows each, through `TableWatch::OnAnswer`, also on a timeout.
-  // The rows may still follow a failure.
+  // Exactly one answer to each call follows through `TableWatch::OnAnswer`,
+  // also after a time-out. Rows may still arrive after a failure.
   virtual void ReadRows(TimeUs now,
                         const std::string& table,
                         const std::string& from) = 0;
@@ -42,16 +43,17 @@
   virtual void OnTable(const std::string& table,
                        const std::vector<TableRow>& rows) = 0;
   virtual void OnRow(const std::string& table, const TableRow& row) = 0;
-  // Everything up to what the store held at `known_at` is known.
+  // All changes that the store held at `known_at` were delivered.
   virtual void OnTableCurrent(const std::string& table, TimeUs known_at) = 0;
   virtual void OnTableLost(const std::string& table) = 0;
 };
 
 class TableWatch {
  public:
-  // After a failed call; grows to `FreshnessPlan::most_pause` while the store
-  // is away, so that its return is noticed soon without pressing on it.
-  static constexpr DurationUs kRetry = 60 * kMillisecond;
+  // Delay after a failed call. It doubles up to
+  // `FreshnessPlan::max_retry_delay` while the store does not answer, so its
+  // return is noticed soon without overloading it.
+  static constexpr DurationUs kInitialRetryDelay = 60 * kMillisecond;
 
   TableWatch(std::string table,
              const FreshnessPlan* plan,
@@ -61,24 +63,24 @@
              EventLog* log);
 
   void OnAnswer(TimeUs now, const TableAnswer& answer);
-  // Sends what is due; call it every 10 ms.
+  // Sends the next request when it is due. Call it every 10 ms.
   void OnTick(TimeUs now);
 
   const std::string& table() const { return table_; }
   bool known() const { return known_; }
   bool lost() const { return failures_ > 0; }
-  // Of the store, up to which the rows are known.
+  // Version of the store up to which the rows are known.
   std::uint64_t version() const { return version_; }
 
  private:
-  void Ask(TimeUs now);
-  void AskSoon(TimeUs now, bool news);
+  void SendRequest(TimeUs now);
+  void ScheduleNext(TimeUs now, bool had_changes);
   void OnRows(TimeUs now, const TableAnswer& answer);
   void OnChanges(TimeUs now, const TableAnswer& answer);
   void OnFailure(TimeUs now, const TableAnswer& answer);
-  void OnOlder(TimeUs now, std::uint64_t version);
-  void AskAfter(TimeUs now, DurationUs pause);
-  void TellCurrent(TimeUs asked_at, const TableAnswer& answer);
+  void OnOlderVersion(TimeUs now, std::uint64_t version);
+  void RetryAfter(TimeUs now, DurationUs delay);
+  void NotifyCurrent(TimeUs sent_at, const TableAnswer& answer);
 
   const std::string table_;
   const FreshnessPlan* const plan_;
@@ -86,15 +88,18 @@
   TableListener* const listener_;
   Random* const random_;
   EventLog* const log_;
-  bool known_ = false;    // The whole table was read.
-  bool reading_ = false;  // A call is in progress.
-  bool whole_ = true;     // It reads the whole table.
-  TimeUs asked_at_ = 0;
-  TimeUs known_at_ = -1;       // Up to which it is known; negative: not yet.
-  TimeUs first_known_at_ = 0;  // Of the pages of one reading.
-  TimeUs next_at_ = 0;
+  bool known_ = false;        // The complete table was read.
+  bool in_progress_ = false;  // A read is in progress.
+  // The current or next read is of the complete table.
+  bool reading_complete_table_ = true;
+  TimeUs sent_at_ = 0;
+  // The copy is current up to this time; negative before the first read.
+  TimeUs known_at_ = -1;
+  // Time at which the first page of the current read was current.
+  TimeUs first_page_known_at_ = 0;
+  TimeUs next_request_at_ = 0;
   std::uint64_t version_ = 0;
-  std::uint64_t page_version_ = 0;  // The lowest of the pages.
+  std::uint64_t page_version_ = 0;  // Lowest version of the pages.
   std::vector<TableRow> pages_;
   int failures_ = 0;
 };
--- a/tests/gateway/freshness_test.cc
+++ b/tests/gateway/freshness_test.cc
@@ -143,7 +143,7 @@
   const FreshnessPlan plan = PlanFreshness(bound, 4 * kSecond);
   TableNet net(23, 4, plan);
   // As slow as the plan allows; the model looks once a tick.
-  net.SetLatency(plan.store_answer - TableNet::kTick);
+  net.SetLatency(plan.store_answer_time - TableNet::kTick);
   for (int n = 0; n < kRounds; ++n) {
     net.Write("replica-" + std::to_string(n), "1");
   }
@@ -194,7 +194,7 @@
   constexpr int kRounds = 12;
   const FreshnessPlan plan = PlanFreshness(kBound, contact);
   TableNet net(23, 4, plan);
-  net.SetLatency(plan.store_answer - TableNet::kTick);
+  net.SetLatency(plan.store_answer_time - TableNet::kTick);
   net.Run(5 * kSecond);
   for (int n = 0; n < kRounds; ++n) {
     for (std::size_t it = 0; it < net.size(); ++it) {
@@ -248,14 +248,15 @@
   const DurationUs bound = *ms * kMillisecond;
   const DurationUs contact = *ms * kMillisecond;
   const FreshnessPlan plan = PlanFreshness(bound, contact);
-  RC_ASSERT(plan.Sum() <= bound);
-  RC_ASSERT(plan.Recovery() <= contact);
+  RC_ASSERT(plan.WorstCaseStaleness() <= bound);
+  RC_ASSERT(plan.RecoveryTime() <= contact);
   // A store that works is no failure, and one that fails is so in time.
-  RC_ASSERT(plan.store_answer < plan.store_in_time);
-  RC_ASSERT(plan.store_in_time + plan.most_pause < plan.store_again);
+  RC_ASSERT(plan.store_answer_time < plan.store_timeout);
+  RC_ASSERT(plan.store_timeout + plan.max_retry_delay <
+            plan.store_retry_period);
   // Gateways that work need not ask the store themselves.
   RC_ASSERT(plan.store_wait > 0);
-  RC_ASSERT(plan.store_wait + plan.settle < plan.ask_store);
+  RC_ASSERT(plan.store_wait + plan.settle_delay < plan.store_request_age);
 }
 
 // A store that holds a question tells when it answered, and nothing is taken
--- a/tests/gateway/relay_plan_test.cc
+++ b/tests/gateway/relay_plan_test.cc
@@ -49,8 +49,8 @@
   }
   for (const GatewayHost& it : hosts) {
     const RelayPlan plan = PlanRelays(it, hosts);
-    ASSERT_FALSE(plan.others.empty());
-    EXPECT_EQ(plan.is_relay, domain_of[plan.others.front()] != it.domain);
+    ASSERT_FALSE(plan.relays.empty());
+    EXPECT_EQ(plan.is_relay, domain_of[plan.relays.front()] != it.domain);
   }
 }
 
@@ -62,7 +62,7 @@
   std::set<NodeId> asked;
   for (int n = 0; n < 40; ++n) {
     const GatewayHost self{"new" + std::to_string(n), "d0", 0.09};
-    asked.insert(PlanRelays(self, hosts).others.front());
+    asked.insert(PlanRelays(self, hosts).relays.front());
   }
   EXPECT_EQ(asked.size(), 5U);
 }
@@ -71,7 +71,7 @@
   const GatewayHost self{"a", "d", 0.1};
   EXPECT_TRUE(PlanRelays(self, {self}).is_relay);
   // One that leaves asks others while there are any.
-  EXPECT_TRUE(PlanRelays(self, {}).others.empty());
+  EXPECT_TRUE(PlanRelays(self, {}).relays.empty());
 }
 
 }  // namespace
--- a/tests/gateway/store_questions_test.cc
+++ b/tests/gateway/store_questions_test.cc
@@ -26,7 +26,7 @@
   StoreRig rig;
   for (int n = 0; n < 10; ++n) {
     rig.questions.Ask(n * kSecond, {false, "", 5, 0});
-    EXPECT_LE(rig.open.size(), StoreQuestions::kMost);
+    EXPECT_LE(rig.open.size(), StoreQuestions::kMaxInFlight);
   }
   EXPECT_EQ(rig.open, (std::vector<std::uint64_t>{1, 9, 10}));
   EXPECT_TRUE(rig.questions.Take(1));
@@ -41,12 +41,12 @@
   rig.questions.Ask(0, {false, "", 5, 0});
   ASSERT_NE(rig.questions.Awaited(), nullptr);
   EXPECT_EQ(rig.questions.Awaited()->id, 2U);
-  EXPECT_FALSE(rig.questions.GiveUp(kSecond - 1, kSecond));
-  const auto late = rig.questions.GiveUp(kSecond, kSecond);
+  EXPECT_FALSE(rig.questions.TimeOutAwaited(kSecond - 1, kSecond));
+  const auto late = rig.questions.TimeOutAwaited(kSecond, kSecond);
   ASSERT_TRUE(late);
   EXPECT_EQ(late->id, 2U);
   EXPECT_EQ(rig.questions.Awaited(), nullptr);
-  EXPECT_FALSE(rig.questions.GiveUp(kSecond, kSecond));
+  EXPECT_FALSE(rig.questions.TimeOutAwaited(kSecond, kSecond));
   // Its answer is taken all the same, and so is the older one's.
   EXPECT_TRUE(rig.questions.Take(2));
   EXPECT_TRUE(rig.questions.Take(1));
@@ -56,8 +56,8 @@
 TEST(StoreQuestionsTest, AQuestionThatIsHeldHasItsWaitOnTop) {
   StoreRig rig;
   rig.questions.Ask(0, {false, "", 5, kSecond});
-  EXPECT_FALSE(rig.questions.GiveUp(kSecond, kSecond));
-  EXPECT_TRUE(rig.questions.GiveUp(2 * kSecond, kSecond));
+  EXPECT_FALSE(rig.questions.TimeOutAwaited(kSecond, kSecond));
+  EXPECT_TRUE(rig.questions.TimeOutAwaited(2 * kSecond, kSecond));
 }
 
 }  // namespace
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -12,7 +12,7 @@
 
 FreshnessPlan Plan() {
   FreshnessPlan plan = PlanFreshness(2 * kStale, 4 * kSecond);
-  plan.ask_store = kStale;
+  plan.store_request_age = kStale;
   return plan;
 }
 
@@ -113,7 +113,7 @@
   SourceRig rig;
   rig.Learn(5);
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
-  rig.now += TableRelay::kMostHeld + TableSource::kReplyTime + 1;
+  rig.now += TableRelay::kMaxHoldTime + TableSource::kRelayReplyMargin + 1;
   rig.source.OnTick(rig.now);
   EXPECT_NE(rig.asked.back(), "a");
   const NodeId second = rig.asked.back();
@@ -208,12 +208,12 @@
   rig.LetItGetOld(5);
   ASSERT_EQ(rig.store_asked, 1);
   rig.StoreAnswers({});
-  rig.now += TableSource::kStoreSoon;
+  rig.now += TableSource::kStoreFirstRetryDelay;
   rig.source.OnTick(rig.now);
   EXPECT_EQ(rig.store_asked, 2);
   // A second failure is an outage: the store is not pressed.
   rig.StoreAnswers({});
-  rig.now += TableSource::kStoreSoon;
+  rig.now += TableSource::kStoreFirstRetryDelay;
   rig.source.OnTick(rig.now);
   EXPECT_EQ(rig.store_asked, 2);
 }
@@ -232,7 +232,7 @@
   ASSERT_EQ(rig.store_asked, 1);
   const TimeUs asked_at = rig.now;
   while (rig.got.empty()) {
-    rig.now += rig.plan.store_in_time;
+    rig.now += rig.plan.store_timeout;
     rig.source.OnTick(rig.now);
     rig.source.OnPeerLost(rig.now, rig.asked.back());
   }
--- a/tests/gateway/table_watch_test.cc
+++ b/tests/gateway/table_watch_test.cc
@@ -67,9 +67,9 @@
   rig.Answer(5, {{"a", "", 4, false}}, true);
   rig.Answer(6, {{"b", "", 6, false}});
   EXPECT_EQ(rig.table, (std::vector<std::string>{"a", "b"}));
-  rig.Pass(rig.plan.settle);
+  rig.Pass(rig.plan.settle_delay);
   rig.Answer(9, {{"c", "", 9, false}});
-  rig.Pass(rig.plan.settle);
+  rig.Pass(rig.plan.settle_delay);
   EXPECT_EQ(rig.changes, std::vector<std::string>{"c"});
   // The first page's version, so that no change between the pages is missed.
   EXPECT_EQ(rig.asked,
@@ -135,7 +135,7 @@
   for (int n = 0; n < 20; ++n) {
     const std::size_t before = rig.asked.size();
     rig.watch.OnAnswer(rig.now, failed);
-    rig.Pass(rig.plan.most_pause);
+    rig.Pass(rig.plan.max_retry_delay);
     EXPECT_EQ(rig.asked.size(), before + 1);
   }
   EXPECT_EQ(rig.lost, 20);
@@ -154,12 +154,12 @@
   TableAnswer failed;
   failed.kind = TableAnswer::Kind::kFailed;
   rig.watch.OnAnswer(rig.now, failed);
-  rig.Pass(rig.plan.most_pause);
+  rig.Pass(rig.plan.max_retry_delay);
   ASSERT_EQ(rig.waits.size(), 2U);
   EXPECT_GT(rig.waits[0], 0);
   EXPECT_EQ(rig.waits[1], 0);
   rig.Answer(5);
-  rig.Pass(rig.plan.settle);
+  rig.Pass(rig.plan.settle_delay);
   ASSERT_EQ(rig.waits.size(), 3U);
   EXPECT_EQ(rig.waits[2], rig.waits[0]);
 }
