--- a/src/coordination/membership/gateway_join.cc
+++ b/src/coordination/membership/gateway_join.cc
@@ -25,14 +25,14 @@
       log_(log) {}
 
 void GatewayJoin::OnTick(TimeUs now) {
-  if (!waiting_ && now >= next_at_) {
-    Go(now, step_);
+  if (!awaiting_store_ && now >= next_step_at_) {
+    BeginStep(now, step_);
   }
 }
 
-void GatewayJoin::Go(TimeUs now, Step step) {
+void GatewayJoin::BeginStep(TimeUs now, Step step) {
   step_ = step;
-  waiting_ = true;
+  awaiting_store_ = true;
   switch (step) {
     case Step::kWriteSelf:
       output_->WriteGateway(StrCat(kNodePrefix, self_), AddressText(address_),
@@ -50,44 +50,44 @@
 }
 
 void GatewayJoin::OnWritten(TimeUs now, bool decided) {
-  waiting_ = false;
+  awaiting_store_ = false;
   if (!decided) {
-    // A write whose answer was lost may have been done; doing it again, or
-    // finding the key there, is harmless.
-    next_at_ = now + kRetry;
+    // The answer may have been lost after the write took effect. Writing again
+    // is harmless, and so is finding the key in place.
+    next_step_at_ = now + kRetryDelay;
     return;
   }
-  Go(now, Step::kRead);
+  BeginStep(now, Step::kRead);
 }
 
 void GatewayJoin::OnRows(TimeUs now, const TableAnswer& answer) {
-  waiting_ = false;
+  awaiting_store_ = false;
   if (answer.kind != TableAnswer::Kind::kRows) {
-    next_at_ = now + kRetry;
+    next_step_at_ = now + kRetryDelay;
     return;
   }
   for (const TableRow& it : answer.rows) {
-    if (it.key == kFrameKeyRow && !have_key_) {
-      have_key_ = true;
+    if (it.key == kFrameKeyRow && !has_frame_key_) {
+      has_frame_key_ = true;
       output_->OnFrameKey(it.value);
     }
   }
-  if (!have_key_) {
-    Go(now, Step::kWriteKey);
+  if (!has_frame_key_) {
+    BeginStep(now, Step::kWriteKey);
     return;
   }
-  std::size_t n = 0;
+  std::size_t others = 0;
   for (const TableRow& it : answer.rows) {
     std::string_view key = it.key;
     const auto address = ParseAddress(it.value);
     if (ConsumePrefix(&key, kNodePrefix) && address && key != self_) {
       output_->OnGateway(NodeId(key), *address);
-      ++n;
+      ++others;
     }
   }
   joined_at_ = joined_at_.value_or(now);
-  log_->Write("joined", {{"others", n}});
-  next_at_ = now + kReadAgain;
+  log_->Write("joined", {{"others", others}});
+  next_step_at_ = now + kReadPeriod;
 }
 
 }  // namespace acaciachute
--- a/src/coordination/membership/gateway_peers.cc
+++ b/src/coordination/membership/gateway_peers.cc
@@ -7,8 +7,8 @@
 namespace acaciachute {
 namespace {
 
-// A host's share of the services goes with the cube of its processor share, so
-// that the largest hosts have nearly all of them.
+// A host's share of the services is proportional to the cube of its processor
+// share, so the largest hosts batch nearly all services.
 double Weight(const std::string& service, const NodeId& node, double cores) {
   return RendezvousWeight(service, node, cores * cores * cores);
 }
@@ -18,7 +18,7 @@
 void GatewayPeers::OnListed(TimeUs now, const NodeId& node) {
   if (node != self_.node) {
     peers_.try_emplace(node).first->second.listed_at = now;
-    known_until_.try_emplace(node, now + kForget);
+    known_until_.try_emplace(node, now + kPeerRemovalTimeout);
   }
 }
 
@@ -27,7 +27,7 @@
                           Incarnation incarnation,
                           const GatewayBeat& beat) {
   Peer& peer = peers_[node];
-  known_until_[node] = now + kRemember;
+  known_until_[node] = now + kKnownPeerDuration;
   if (now < peer.unreachable_until) {
     return false;
   }
@@ -37,16 +37,17 @@
     peer.restarted = true;
   }
   if (beat.asks || peer.incarnation != incarnation) {
-    peer.promised = 0;  // It waits for this one's beat, or never had one.
+    // The peer waits for a heartbeat of this gateway, or has received none yet.
+    peer.promised_interval = 0;
   }
   peer.incarnation = incarnation;
-  peer.heard_at = now;
+  peer.last_heartbeat_at = now;
   peer.live = true;
   peer.leaving = beat.leaving;
-  peer.current = beat.current;
+  peer.can_check_keys = beat.current;
   peer.period = std::max(beat.period, kBeat);
   if (changed || peer.cores != beat.cores || peer.domain != beat.domain) {
-    OnChange();
+    DiscardDerivedState();
   }
   peer.cores = beat.cores;
   peer.domain = beat.domain;
@@ -65,9 +66,9 @@
   if (it->second.live) {
     log_->Write("peer", {{"peer", node}, {"state", "unreachable"}});
   }
-  OnChange();
+  DiscardDerivedState();
   it->second.live = false;
-  it->second.unreachable_until = now + kUnreachable;
+  it->second.unreachable_until = now + kUnreachableDuration;
 }
 
 std::vector<NodeId> GatewayPeers::Known(TimeUs now) const {
@@ -82,16 +83,17 @@
 }
 
 void GatewayPeers::OnTick(TimeUs now) {
-  const DurationUs paused = own_pause_.OnTurn(now);
-  if (paused == 0) {
+  const DurationUs suspended_for = own_pause_.CheckSuspension(now);
+  if (suspended_for == 0) {
     return;
   }
   log_->Write("suspended",
-              {{"for_ms", (paused + kLongestTurn) / kMillisecond}});
+              {{"for_ms", (suspended_for + kMaxTickInterval) / kMillisecond}});
   for (auto& [node, peer] : peers_) {
     if (peer.live) {
-      // A beat may have been read since this process goes on.
-      peer.heard_at = std::min(now, peer.heard_at + paused);
+      // A heartbeat may have been read since this process resumed.
+      peer.last_heartbeat_at =
+          std::min(now, peer.last_heartbeat_at + suspended_for);
     }
   }
 }
@@ -100,39 +102,42 @@
   std::vector<NodeId> lost;
   for (auto it = peers_.begin(); it != peers_.end();) {
     Peer& peer = it->second;
-    const bool silent =
-        peer.live && now - peer.heard_at > Scaled(peer, kSilent);
+    const bool silent = peer.live && now - peer.last_heartbeat_at >
+                                         ScaleToPeriod(peer, kPeerTimeout);
     if (silent || peer.restarted) {
-      OnChange();
+      DiscardDerivedState();
       lost.push_back(it->first);
       peer.live = !silent;
       peer.restarted = false;
-      log_->Write("peer", {{"peer", it->first},
-                           {"state", silent ? "silent" : "restarted"},
-                           {"age_ms", (now - peer.heard_at) / kMillisecond}});
+      log_->Write("peer",
+                  {{"peer", it->first},
+                   {"state", silent ? "silent" : "restarted"},
+                   {"age_ms", (now - peer.last_heartbeat_at) / kMillisecond}});
     }
-    const TimeUs known_at = std::max(peer.heard_at, peer.listed_at);
-    it = now - known_at > kForget ? peers_.erase(it) : std::next(it);
+    const TimeUs known_at = std::max(peer.last_heartbeat_at, peer.listed_at);
+    it =
+        now - known_at > kPeerRemovalTimeout ? peers_.erase(it) : std::next(it);
   }
   return lost;
 }
 
 DurationUs GatewayPeers::Period(bool batches) const {
   const std::size_t peers = Live() - 1;
-  if (batches || leaving_ || peers <= kPeersAtFullRate) {
+  if (batches || leaving_ || peers <= kMaxPeersAtFullRate) {
     return kBeat;
   }
   return kBeat * static_cast<DurationUs>(peers) /
-         static_cast<DurationUs>(kPeersAtFullRate);
+         static_cast<DurationUs>(kMaxPeersAtFullRate);
 }
 
 std::vector<DueBeat> GatewayPeers::DueBeats(TimeUs now, DurationUs period) {
   std::vector<DueBeat> due;
   for (auto& [node, peer] : peers_) {
     const DurationUs wait = peer.live ? period : std::max(period, kSilentBeat);
-    if (now - peer.told_at >= std::min(wait, peer.promised)) {
-      peer.told_at = now;
-      peer.promised = wait;
+    if (now - peer.heartbeat_sent_at >=
+        std::min(wait, peer.promised_interval)) {
+      peer.heartbeat_sent_at = now;
+      peer.promised_interval = wait;
       due.push_back({node, wait});
     }
   }
@@ -142,10 +147,11 @@
 std::vector<DueBeat> GatewayPeers::DueQuestions(TimeUs now) {
   std::vector<DueBeat> due;
   for (auto& [node, peer] : peers_) {
-    if (peer.live && now - peer.heard_at > Scaled(peer, kSuspect) &&
-        now - peer.asked_at >= Scaled(peer, kAskAgain)) {
-      peer.asked_at = now;
-      due.push_back({node, peer.promised});
+    if (peer.live &&
+        now - peer.last_heartbeat_at > ScaleToPeriod(peer, kProbeDelay) &&
+        now - peer.probed_at >= ScaleToPeriod(peer, kProbeInterval)) {
+      peer.probed_at = now;
+      due.push_back({node, peer.promised_interval});
     }
   }
   return due;
@@ -153,9 +159,9 @@
 
 void GatewayPeers::SetLeaving() {
   leaving_ = true;
-  OnChange();
+  DiscardDerivedState();
   for (auto& [node, peer] : peers_) {
-    peer.promised = 0;
+    peer.promised_interval = 0;
   }
 }
 
@@ -167,9 +173,9 @@
   return owners_.emplace(service, FindOwner(service)).first->second;
 }
 
-// Weights alone leave a service to a small host now and then, for as long as
-// both live; its processor is a queue of its own then, and requests of that
-// stage are late all the while. So small hosts batch for nobody.
+// With weights alone, a service would now and then belong to a small host for
+// as long as both hosts live. Its processor would then cause a queue, and all
+// requests of that stage would be late. So small hosts do not batch.
 NodeId GatewayPeers::FindOwner(const std::string& service) const {
   double largest = leaving_ ? 0 : self_.cores;
   for (const auto& [node, peer] : peers_) {
@@ -177,12 +183,12 @@
       largest = std::max(largest, peer.cores);
     }
   }
-  const double least = kMinLargeHostShare * largest;
+  const double min_cores = kMinLargeHostShare * largest;
   const NodeId* owner = &self_.node;
-  const bool takes_part = !leaving_ && self_.cores >= least;
-  double best = takes_part ? Weight(service, self_.node, self_.cores) : 0;
+  const bool is_candidate = !leaving_ && self_.cores >= min_cores;
+  double best = is_candidate ? Weight(service, self_.node, self_.cores) : 0;
   for (const auto& [node, peer] : peers_) {
-    if (!peer.live || peer.leaving || peer.cores < least) {
+    if (!peer.live || peer.leaving || peer.cores < min_cores) {
       continue;
     }
     const double weight = Weight(service, node, peer.cores);
@@ -194,20 +200,20 @@
   return *owner;
 }
 
-void GatewayPeers::OnChange() {
+void GatewayPeers::DiscardDerivedState() {
   owners_.clear();
   relay_plan_.reset();
 }
 
 NodeId GatewayPeers::AnyLive(Random* random) const {
-  NodeId drawn;
-  std::uint64_t n = 0;
+  NodeId chosen;
+  std::uint64_t count = 0;
   for (const auto& [node, peer] : peers_) {
-    if (peer.live && !peer.leaving && random->Below(++n) == 0) {
-      drawn = node;
+    if (peer.live && !peer.leaving && random->Below(++count) == 0) {
+      chosen = node;
     }
   }
-  return drawn;
+  return chosen;
 }
 
 const RelayPlan& GatewayPeers::relay_plan() const {
@@ -227,14 +233,15 @@
 }
 
 std::size_t GatewayPeers::Live() const {
-  const auto n = std::count_if(peers_.begin(), peers_.end(),
-                               [](const auto& it) { return it.second.live; });
-  return 1 + static_cast<std::size_t>(n);
+  const auto count =
+      std::count_if(peers_.begin(), peers_.end(),
+                    [](const auto& it) { return it.second.live; });
+  return 1 + static_cast<std::size_t>(count);
 }
 
 bool GatewayPeers::AnotherIsCurrent() const {
   return std::any_of(peers_.begin(), peers_.end(), [](const auto& it) {
-    return it.second.live && !it.second.leaving && it.second.current;
+    return it.second.live && !it.second.leaving && it.second.can_check_keys;
   });
 }
 
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -1,14 +1,16 @@
-// The other gateways that live, and which gateway batches a service's pieces.
+// Tracks which other gateways are alive and determines which gateway batches a
+// service's pieces.
 //
-// Load pattern: replicas of a stage run one call at a time. Gateways that send
-// calls apart fill them to a fifth and queue behind one another. For each
+// Replicas of a stage run one call at a time. If gateways send calls
+// separately, calls are a fifth full and queue behind one another. For each
 // service the live gateway with the highest hash of (service, gateway) batches
-// the pieces of all (rendezvous hashing, Thaler and Ravishankar 1998), so that
-// gateways agree without asking anybody, and a gateway that comes or goes moves
-// only its own services. Batching for all takes some 100 microseconds a
-// request; on a host with a tenth of a core that is a queue of its own, so
-// hashes are weighted steeply by the hosts' processors. While two disagree,
-// both send calls; a replica queues or refuses the second.
+// the pieces of all gateways (rendezvous hashing, Thaler and Ravishankar 1998),
+// so gateways agree without communication, and a gateway that joins or leaves
+// moves only its own services. Batching for all gateways takes about 100
+// microseconds per request. On a host with a tenth of a core that alone causes
+// a queue, so the hashes are weighted steeply by the hosts' processor shares.
+// While two gateways disagree, both send calls, and a replica queues or refuses
+// the second one.
 #ifndef ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_GATEWAY_PEERS_H_
 #define ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_GATEWAY_PEERS_H_
 
@@ -28,8 +30,8 @@
 
 namespace acaciachute {
 
-// A beat that is due to `node`, which may count on the next one within
-// `promise`.
+// A heartbeat that is due to `node`, which may rely on receiving the next one
+// within `promise`.
 struct DueBeat {
   NodeId node;
   DurationUs promise = 0;
@@ -37,127 +39,142 @@
 
 class GatewayPeers {
  public:
-  // A beat is under 1 KB; at five gateways that is 20 KB/s a host.
+  // Period of heartbeats between gateways. A heartbeat is smaller than 1 KB;
+  // with five gateways that is 20 KB/s per host.
   static constexpr DurationUs kBeat = 150 * kMillisecond;
-  // Load pattern: each gateway tells all others, so what a host receives grows
-  // with their number; at 29 a tenth of a core went on beats. Up to this many
-  // peers all beat every `kBeat`. With more, only those that batch for others
-  // do and the rest in proportion less often: nobody waits for these.
-  static constexpr std::size_t kPeersAtFullRate = 6;
-  // Four beats: with a thirtieth of the datagrams lost, a live gateway is taken
-  // for dead once in a million beats. Longer for those that beat less often.
-  static constexpr DurationUs kSilent = 650 * kMillisecond;
-  // Two beats missed: the gateway is asked for one, three times until it is
-  // taken for dead. Like the direct probe of SWIM (Das, Gupta and Motivala
-  // 2002); others are not asked whether they hear it, because their word would
-  // not carry pieces to it.
-  static constexpr DurationUs kSuspect = 400 * kMillisecond;
-  static constexpr DurationUs kAskAgain = (kSilent - kSuspect) / 3;
-  // Longer than a beat may have been on its way.
-  static constexpr DurationUs kUnreachable = 300 * kMillisecond;
-  // Between two looks, on a host that is short of its processor. What is beyond
-  // it, this process did not run.
-  static constexpr DurationUs kLongestTurn = 200 * kMillisecond;
-  // Silent ones are still told, less often: they may return from a cut.
+  // Number of peers up to which all gateways send a heartbeat every
+  // `kGatewayHeartbeatPeriod`. Each gateway sends heartbeats to all others, so
+  // the number that a host receives grows with the number of gateways; with 29
+  // gateways they took a tenth of a core. With more peers, only gateways that
+  // batch for others keep this period; the others send proportionally fewer, as
+  // no gateway waits for their heartbeats.
+  static constexpr std::size_t kMaxPeersAtFullRate = 6;
+  // Time without a heartbeat after which a gateway counts as dead. It covers
+  // four heartbeats: if a thirtieth of the datagrams is lost, a live gateway is
+  // taken for dead once in a million heartbeats. The limit is longer for
+  // gateways with a longer period.
+  static constexpr DurationUs kPeerTimeout = 650 * kMillisecond;
+  // Time without a heartbeat, two of them missed, after which the gateway is
+  // probed for one, three times until it counts as dead. This corresponds to
+  // the direct probe of SWIM (Das, Gupta and Motivala 2002). Other gateways are
+  // not asked whether they reach it, because their answer would not transfer
+  // pieces to it.
+  static constexpr DurationUs kProbeDelay = 400 * kMillisecond;
+  static constexpr DurationUs kProbeInterval = (kPeerTimeout - kProbeDelay) / 3;
+  // Time for which heartbeats of a gateway are ignored after a connection to it
+  // failed; longer than a heartbeat may have been in transit.
+  static constexpr DurationUs kUnreachableDuration = 300 * kMillisecond;
+  // Longest interval between two ticks on a host that is short of processor
+  // time. If it is exceeded, this process was suspended for the remainder.
+  static constexpr DurationUs kMaxTickInterval = 200 * kMillisecond;
+  // Smallest heartbeat period towards gateways that do not answer: they may
+  // return from a network partition.
   static constexpr DurationUs kSilentBeat = kSecond;
-  // After this a silent gateway is forgotten; it is read from the store again
-  // if it lives.
-  static constexpr DurationUs kForget = 60 * kSecond;
-  // Longer than regions are cut off from one another.
-  static constexpr DurationUs kRemember = 3600 * kSecond;
+  // Time without a heartbeat after which a gateway is removed from the list. If
+  // it is alive, it is read from the store again.
+  static constexpr DurationUs kPeerRemovalTimeout = 60 * kSecond;
+  // Time for which a gateway counts as known after its last heartbeat; longer
+  // than network partitions between regions last.
+  static constexpr DurationUs kKnownPeerDuration = 3600 * kSecond;
 
   GatewayPeers(GatewayHost self, EventLog* log)
       : self_(std::move(self)), log_(log) {}
 
-  // A gateway that the store lists.
+  // Adds a gateway that the store lists.
   void OnListed(TimeUs now, const NodeId& node);
-  // Returns whether its state changed.
+  // Returns whether the state of the gateway changed.
   bool OnBeat(TimeUs now,
               const NodeId& node,
               Incarnation incarnation,
               const GatewayBeat& beat);
-  // No connection could be made to it. It is taken for dead at once, until a
-  // beat that comes `kUnreachable` later: a killed process refuses connections
-  // long before its silence tells, and trying it again in a loop would use up
-  // this process's time.
+  // Records that no connection to `node` could be made. The gateway counts as
+  // dead at once, until a heartbeat arrives `kUnreachableDuration` later: a
+  // killed process refuses connections long before its missing heartbeats are
+  // noticed, and trying to connect in a loop would use up this process's time.
   void OnUnreachable(TimeUs now, const NodeId& node);
-  // All that may send work by what is known, this one included and sorted:
-  // those heard within `kRemember`, whatever became of them since, and those
-  // that were listed a moment ago.
+  // All gateways that may send work as far as is known here, sorted, including
+  // this one: those heard from within `kKnownPeerDuration`, whatever their
+  // state since then, and those that were listed recently.
   std::vector<NodeId> Known(TimeUs now) const;
-  // Call it before each look at who is lost, every 30 ms.
+  // Call it before each `TakeLost`, every 30 ms.
   //
-  // Failure: this process is suspended and goes on. Symptom: all others seem
-  // silent until their next beats, and what they had in hand is done again. So
-  // nobody's silence is counted while this process did not run.
+  // If this process was suspended, all other gateways seem to have been silent
+  // until their next heartbeats, and their work would be repeated. So the time
+  // for which this process did not run does not count as silence of the others.
   void OnTick(TimeUs now);
-  // Gateways that fell silent or restarted since the last call: what they had
-  // is lost.
+  // Returns the gateways that stopped answering or restarted since the last
+  // call: the work that they had in progress is lost.
   std::vector<NodeId> TakeLost(TimeUs now);
-  // How often this gateway beats; `batches` tells whether others hand it
+  // The heartbeat period of this gateway; `batches` says whether others send it
   // pieces.
   DurationUs Period(bool batches) const;
-  // Those that a beat is due to now. A period that grows is told in a beat that
-  // comes as early as the one before promised.
+  // Returns the gateways to which a heartbeat is due now. A longer period is
+  // announced in a heartbeat that is sent as early as the previous one
+  // promised.
   //
-  // Failure: a gateway beats less often without having said so, or hears its
-  // peers less often because they hold it for silent. Symptom: among many live
-  // gateways, hosts with nothing to batch take those that batch for silent
-  // again and again and hand themselves their pieces, and so on in a circle.
-  // Each promise is to one gateway and is kept, so silence means a loss.
+  // Suppose a gateway sent heartbeats less often without announcing it, or
+  // received them less often because its peers take it for dead. Among many
+  // live gateways, hosts that batch nothing would then take the batching
+  // gateways for dead over and over and process the pieces themselves, which in
+  // turn makes them batching gateways. Each promise is made to one gateway and
+  // is kept, so missing heartbeats mean a loss.
   std::vector<DueBeat> DueBeats(TimeUs now, DurationUs period);
-  // Those that must tell at once whether they live.
+  // Returns the gateways that must be probed now.
   std::vector<DueBeat> DueQuestions(TimeUs now);
-  // All hear it at once.
+  // Announces to all gateways, at once, that this one leaves.
   void SetLeaving();
 
-  // The gateway that batches the service's pieces; this one when it is alone.
+  // The gateway that batches the service's pieces; this one if it is alone.
   const NodeId& OwnerOf(const std::string& service) const;
-  // Live gateways, this one included.
+  // Number of live gateways, including this one.
   std::size_t Live() const;
   bool IsLive(const NodeId& node) const;
-  // Whom to ask for the store's tables.
+  // The gateways to ask for the store's tables.
   const RelayPlan& relay_plan() const;
-  // Any gateway that lives and does not leave; empty when there is none.
+  // A random gateway that is alive and not leaving; empty if there is none.
   NodeId AnyLive(Random* random) const;
-  // Whether another gateway that lives may check keys, as it last told.
+  // Whether another live gateway may check keys, as it last reported.
   bool AnotherIsCurrent() const;
 
  private:
   struct Peer {
     Incarnation incarnation = 0;
-    TimeUs heard_at = -1;  // Negative: not yet.
+    TimeUs last_heartbeat_at = -1;  // Negative before the first heartbeat.
     TimeUs listed_at = 0;
-    TimeUs told_at = 0;
-    DurationUs promised = 0;  // From `told_at` until it is told again, at most.
-    TimeUs asked_at = 0;
+    TimeUs heartbeat_sent_at = 0;
+    // Longest time from `heartbeat_sent_at` to the next heartbeat, as promised
+    // to this peer.
+    DurationUs promised_interval = 0;
+    TimeUs probed_at = 0;
     TimeUs unreachable_until = 0;
     double cores = 1;
     std::string domain;
     DurationUs period = kBeat;
     bool live = false;
     bool leaving = false;
-    bool current = false;
+    bool can_check_keys = false;
     bool restarted = false;
   };
 
-  // A limit that is given for `kBeat`, at the peer's own period.
-  static DurationUs Scaled(const Peer& peer, DurationUs limit) {
+  // Scales a time limit that is given for the period `kGatewayHeartbeatPeriod`
+  // to the period of the peer.
+  static DurationUs ScaleToPeriod(const Peer& peer, DurationUs limit) {
     return limit * peer.period / kBeat;
   }
-  // What was derived from who lives is derived anew.
-  void OnChange();
+  // Discards what was derived from the set of live gateways.
+  void DiscardDerivedState();
   NodeId FindOwner(const std::string& service) const;
   const GatewayHost self_;
   EventLog* const log_;
   bool leaving_ = false;
-  OwnPause own_pause_{kLongestTurn};
+  OwnPause own_pause_{kMaxTickInterval};
   std::map<NodeId, Peer> peers_;
-  // Until when each counts as one that may send work.
+  // Until when each gateway counts as one that may send work.
   absl::flat_hash_map<NodeId, TimeUs> known_until_;
-  // By service, until a gateway comes or goes: a request asks a dozen times.
+  // Cache of `OwnerOf` by service, valid until a gateway joins or leaves: each
+  // request looks up a dozen owners.
   mutable std::map<std::string, NodeId> owners_;
-  // Until then, too: a gateway asks several times a second.
+  // Cache, valid as long: it is read several times a second.
   mutable std::optional<RelayPlan> relay_plan_;
 };
 
--- a/src/coordination/membership/membership.cc
+++ b/src/coordination/membership/membership.cc
@@ -6,10 +6,10 @@
 namespace acaciachute {
 namespace {
 
-// How long another entry's request for help is worth an answer.
-constexpr DurationUs kRequestLife = kSecond;
-// Heard so recently, a sidecar needs no question on another's behalf.
-constexpr DurationUs kFresh = kSecond;
+// Time for which an answer to another entry's request is still useful.
+constexpr DurationUs kHelpRequestTimeout = kSecond;
+// A sidecar heard from within this time is not probed for another entry.
+constexpr DurationUs kRecentContactMaxAge = kSecond;
 
 }  // namespace
 
@@ -28,9 +28,9 @@
     }
   }
   members_ = std::move(next);
-  const auto bytes = static_cast<DurationUs>(members_.size()) * kQuestionBytes;
-  period_ =
-      std::clamp(bytes * kSecond / kBytesPerSecond, kMinPeriod, kMaxPeriod);
+  const auto bytes = static_cast<DurationUs>(members_.size()) * kProbeBytes;
+  period_ = std::clamp(bytes * kSecond / kProbeBytesPerSecond, kMinProbePeriod,
+                       kMaxProbePeriod);
 }
 
 void Membership::SetHelpers(std::vector<NodeId> entries) {
@@ -38,68 +38,70 @@
 }
 
 void Membership::OnTick(TimeUs now) {
-  // Failure: this process was paused, and the answers wait in its socket.
-  // Symptom: on waking it finds everybody silent for as long as it slept. The
-  // silence starts anew, so the answers are read before anyone is suspected.
-  const bool was_paused = own_pause_.OnTurn(now) > 0;
-  for (auto& [name, member] : members_) {
-    if (was_paused && member.silent_since >= 0) {
-      member.silent_since = now;
+  // While this process was suspended, answers waited in its socket, and on
+  // resuming all sidecars seem to have been silent for as long. The silence is
+  // counted from now, so the answers are read before any sidecar is suspected.
+  const bool was_suspended = own_pause_.CheckSuspension(now) > 0;
+  for (auto& [sidecar, member] : members_) {
+    if (was_suspended && member.unanswered_since >= 0) {
+      member.unanswered_since = now;
     }
-    const bool silent =
-        member.silent_since >= 0 && now - member.silent_since > kSuspectAfter;
-    const bool heard = member.state == NodeState::kReady ||
-                       member.state == NodeState::kLeaving;
-    if (silent && heard) {
+    const bool silent = member.unanswered_since >= 0 &&
+                        now - member.unanswered_since > kSuspectTimeout;
+    const bool reachable = member.state == NodeState::kReady ||
+                           member.state == NodeState::kLeaving;
+    if (silent && reachable) {
       member.suspected_at = now;
-      SetState(name, member, NodeState::kSuspect);
+      SetState(sidecar, member, NodeState::kSuspect);
     }
     if (member.state == NodeState::kSuspect) {
-      // Whoever else hears it keeps it from being dead, not from being shunned.
-      const TimeUs since = std::max(member.suspected_at, member.confirmed_at);
-      if (now - since > kDeadAfter) {
-        SetState(name, member, NodeState::kDead);
-        output_->OnMemberLost(name);
-      } else if (now >= member.next_help) {
-        member.next_help = now + kHelpPeriod;
-        AskHelpers(now, name);
+      // An entry that reaches the sidecar keeps it from being dead; it stays
+      // suspected here.
+      const TimeUs since =
+          std::max(member.suspected_at, member.last_contact_at);
+      if (now - since > kDeadTimeout) {
+        SetState(sidecar, member, NodeState::kDead);
+        output_->OnMemberLost(sidecar);
+      } else if (now >= member.next_help_request_at) {
+        member.next_help_request_at = now + kHelpRequestPeriod;
+        RequestHelp(now, sidecar);
       }
     }
-    if (now >= member.next_question) {
-      Ask(now, name, member);
+    if (now >= member.next_probe_at) {
+      Probe(now, sidecar, member);
     }
   }
-  std::erase_if(requests_, [now](const auto& it) {
-    return it.second.sent_at + kRequestLife < now;
+  std::erase_if(help_requests_, [now](const auto& it) {
+    return it.second.sent_at + kHelpRequestTimeout < now;
   });
 }
 
-void Membership::Ask(TimeUs now, const NodeId& sidecar, Member& member) {
-  const bool repeat = member.silent_since >= 0;
+void Membership::Probe(TimeUs now, const NodeId& sidecar, Member& member) {
+  const bool is_retry = member.unanswered_since >= 0;
   const bool known =
       member.state != NodeState::kDead && member.state != NodeState::kStarting;
-  // Spread over the period, so that the answers do not come in one burst.
+  // Spread over the period, so that answers do not arrive in one burst.
   const auto jitter = static_cast<DurationUs>(random_->Below(period_ / 8 + 1));
-  member.next_question =
-      now + (repeat && known ? kRepeatAfter : period_ - jitter);
-  if (!repeat) {
-    member.silent_since = now;
-    member.next_question = now + (known ? kRepeatAfter : period_ - jitter);
+  member.next_probe_at =
+      now + (is_retry && known ? kProbeRetryDelay : period_ - jitter);
+  if (!is_retry) {
+    member.unanswered_since = now;
+    member.next_probe_at = now + (known ? kProbeRetryDelay : period_ - jitter);
   }
   const std::uint64_t sequence = next_sequence_++;
-  member.questions[sequence] = now;
-  while (member.questions.begin()->second + kMaxPeriod < now) {
-    member.questions.erase(member.questions.begin());
+  member.pending_probes[sequence] = now;
+  while (member.pending_probes.begin()->second + kMaxProbePeriod < now) {
+    member.pending_probes.erase(member.pending_probes.begin());
   }
   output_->AskSidecar(sidecar, sequence);
 }
 
-void Membership::AskHelpers(TimeUs now, const NodeId& sidecar) {
-  std::vector<NodeId> open = helpers_;
-  for (std::size_t n = 0; n < kHelpers && !open.empty(); ++n) {
-    std::swap(open[random_->Below(open.size())], open.back());
-    output_->SendToEntry(open.back(), ReachQuery{sidecar});
-    open.pop_back();
+void Membership::RequestHelp(TimeUs now, const NodeId& sidecar) {
+  std::vector<NodeId> candidates = helpers_;
+  for (std::size_t n = 0; n < kHelpersPerRequest && !candidates.empty(); ++n) {
+    std::swap(candidates[random_->Below(candidates.size())], candidates.back());
+    output_->SendToEntry(candidates.back(), ReachQuery{sidecar});
+    candidates.pop_back();
   }
 }
 
@@ -107,16 +109,17 @@
                           const NodeId& sidecar,
                           Incarnation incarnation,
                           const Heartbeat& heartbeat) {
-  AnswerRequests(sidecar, incarnation, heartbeat.reply_to);
+  AnswerHelpRequests(sidecar, incarnation, heartbeat.reply_to);
   const auto it = members_.find(sidecar);
   if (it == members_.end()) {
     return false;
   }
   Member& member = it->second;
-  const auto question = member.questions.find(heartbeat.reply_to);
-  const bool asked = question != member.questions.end();
-  // Neither an answer in time nor its own word: it may be minutes old.
-  if (!asked && heartbeat.reply_to != 0) {
+  const auto probe = member.pending_probes.find(heartbeat.reply_to);
+  const bool answers_probe = probe != member.pending_probes.end();
+  // This answers no pending probe and is no report of its own: it may be
+  // minutes old.
+  if (!answers_probe && heartbeat.reply_to != 0) {
     metrics_->Count("acaciachute_late_heartbeats_total");
     return false;
   }
@@ -128,49 +131,51 @@
     member.first_heard_at = now;
     member.listed_leaving = false;
   }
-  if (asked) {
-    member.confirmed_at = question->second;
-    member.questions.erase(member.questions.begin(), std::next(question));
-    member.silent_since = kNoTime;
-    member.next_question =
+  if (answers_probe) {
+    member.last_contact_at = probe->second;
+    member.pending_probes.erase(member.pending_probes.begin(),
+                                std::next(probe));
+    member.unanswered_since = kNoTime;
+    member.next_probe_at =
         now + period_ -
         static_cast<DurationUs>(random_->Below(period_ / 8 + 1));
   } else if (member.state == NodeState::kSuspect ||
              member.state == NodeState::kDead) {
-    // It speaks, but does not hear this entry: the path is one way.
+    // The sidecar sends reports but does not receive this entry's probes: the
+    // path works in one direction only.
     return false;
   }
-  member.said = heartbeat.state;
+  member.reported_state = heartbeat.state;
   SetState(sidecar, member,
-           member.listed_leaving && member.said == NodeState::kReady
+           member.listed_leaving && member.reported_state == NodeState::kReady
                ? NodeState::kLeaving
-               : member.said);
+               : member.reported_state);
   return true;
 }
 
-void Membership::AnswerRequests(const NodeId& sidecar,
-                                Incarnation incarnation,
-                                std::uint64_t sequence) {
-  const auto it = requests_.find(sequence);
-  if (it == requests_.end() || it->second.sidecar != sidecar) {
+void Membership::AnswerHelpRequests(const NodeId& sidecar,
+                                    Incarnation incarnation,
+                                    std::uint64_t sequence) {
+  const auto it = help_requests_.find(sequence);
+  if (it == help_requests_.end() || it->second.sidecar != sidecar) {
     return;
   }
   output_->SendToEntry(it->second.entry, ReachReport{sidecar, incarnation});
-  requests_.erase(it);
+  help_requests_.erase(it);
 }
 
 void Membership::OnReachQuery(TimeUs now,
                               const NodeId& entry,
                               const ReachQuery& query) {
   const auto it = members_.find(query.sidecar);
-  if (it != members_.end() && it->second.confirmed_at >= 0 &&
-      now - it->second.confirmed_at < kFresh) {
+  if (it != members_.end() && it->second.last_contact_at >= 0 &&
+      now - it->second.last_contact_at < kRecentContactMaxAge) {
     output_->SendToEntry(entry,
                          ReachReport{query.sidecar, it->second.incarnation});
     return;
   }
   const std::uint64_t sequence = next_sequence_++;
-  requests_[sequence] = {entry, query.sidecar, sequence, now};
+  help_requests_[sequence] = {entry, query.sidecar, sequence, now};
   output_->AskSidecar(query.sidecar, sequence);
 }
 
@@ -181,7 +186,7 @@
     return;
   }
   metrics_->Count("acaciachute_reached_through_others_total");
-  it->second.confirmed_at = now;
+  it->second.last_contact_at = now;
 }
 
 void Membership::OnHostList(TimeUs now, const std::vector<HostHint>& hosts) {
@@ -191,16 +196,18 @@
       continue;
     }
     Member& member = it->second;
-    // The list may tell of the process that this one replaced.
-    const bool about_this =
-        member.first_heard_at >= 0 && now - member.first_heard_at >= kListLag;
-    member.listed_leaving = host.leaving && about_this;
+    // The list may still describe the process that this one replaced.
+    const bool about_current_process =
+        member.first_heard_at >= 0 &&
+        now - member.first_heard_at >= kMaxHostListLag;
+    member.listed_leaving = host.leaving && about_current_process;
     if (member.state != NodeState::kReady &&
         member.state != NodeState::kLeaving) {
       continue;
     }
-    SetState(host.node, member,
-             member.listed_leaving ? NodeState::kLeaving : member.said);
+    SetState(
+        host.node, member,
+        member.listed_leaving ? NodeState::kLeaving : member.reported_state);
   }
 }
 
--- a/src/coordination/membership/message_age.cc
+++ b/src/coordination/membership/message_age.cc
@@ -11,28 +11,28 @@
   const DurationUs difference = now - sent_at;
   const auto it = senders_.find(sender);
   if (it == senders_.end()) {
-    MakeRoom();
+    EvictOldestSender();
     senders_[sender] = {difference, difference, sent_at, now};
     return 0;
   }
-  Base& base = it->second;
-  base.heard_at = now;
-  if (sent_at - base.window_start > kWindow) {
-    base.previous = base.current;
-    base.current = difference;
-    base.window_start = sent_at;
+  BaseDelay& base_delay = it->second;
+  base_delay.last_message_at = now;
+  if (sent_at - base_delay.window_start > kBaseDelayWindow) {
+    base_delay.previous = base_delay.current;
+    base_delay.current = difference;
+    base_delay.window_start = sent_at;
   }
-  base.current = std::min(base.current, difference);
-  return difference - std::min(base.current, base.previous);
+  base_delay.current = std::min(base_delay.current, difference);
+  return difference - std::min(base_delay.current, base_delay.previous);
 }
 
-void MessageAge::MakeRoom() {
-  if (senders_.size() < kMostSenders) {
+void MessageAge::EvictOldestSender() {
+  if (senders_.size() < kMaxSenders) {
     return;
   }
   senders_.erase(std::min_element(
       senders_.begin(), senders_.end(), [](const auto& a, const auto& b) {
-        return a.second.heard_at < b.second.heard_at;
+        return a.second.last_message_at < b.second.last_message_at;
       }));
 }
 
--- a/src/coordination/membership/own_pause.h
+++ b/src/coordination/membership/own_pause.h
@@ -1,7 +1,6 @@
-// Tells when this process did not run.
+// Detects that this process was suspended.
 //
-// Failure: a process is suspended and goes on. Symptom: everybody else seems to
-// have been silent for as long.
+// After a suspension, all other processes seem to have been silent for as long.
 #ifndef ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_OWN_PAUSE_H_
 #define ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_OWN_PAUSE_H_
 
@@ -15,18 +14,22 @@
 
 class OwnPause {
  public:
-  // `longest_turn` may pass between two turns of a process that runs.
-  explicit OwnPause(DurationUs longest_turn) : longest_turn_(longest_turn) {}
-
-  // What was beyond it since the last turn; zero for a process that ran.
-  DurationUs OnTurn(TimeUs now) {
-    const TimeUs last = std::exchange(last_, now).value_or(now);
-    return std::max<DurationUs>(0, now - last - longest_turn_);
+  // `max_interval` may pass between two checks of a process that is not
+  // suspended.
+  explicit OwnPause(DurationUs max_interval) : max_interval_(max_interval) {}
+
+  // Returns how much the time since the last check exceeded `max_interval`;
+  // zero if the process was not suspended. Call it in each turn of the event
+  // loop.
+  DurationUs CheckSuspension(TimeUs now) {
+    const TimeUs last_check_at =
+        std::exchange(last_check_at_, now).value_or(now);
+    return std::max<DurationUs>(0, now - last_check_at - max_interval_);
   }
 
  private:
-  const DurationUs longest_turn_;
-  std::optional<TimeUs> last_;
+  const DurationUs max_interval_;
+  std::optional<TimeUs> last_check_at_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/tables/store_questions.h
+++ b/src/coordination/tables/store_questions.h
@@ -77,8 +77,8 @@
   const std::string table_;
   StoreReader* const store_;
   std::uint64_t next_id_ = 1;
-  std::vector<Sent>
-      requests_;  // Oldest first; only the last one may be awaited.
+  // Oldest first; only the last one may be awaited.
+  std::vector<Sent> requests_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -280,8 +280,8 @@
     Fail(now, answer);
     return;
   }
-  RequestFromRelay(
-      now);  // The relay may hold the request until the store is back.
+  // The relay may hold the request until the store is back.
+  RequestFromRelay(now);
   if (relay_request_.peer.empty()) {
     RequestFromStore(now);
   }
--- a/tests/gateway/shared_piece_desk_test.cc
+++ b/tests/gateway/shared_piece_desk_test.cc
@@ -200,7 +200,8 @@
   asker.peers.OnUnreachable(net.now, net.owner);
   asker.peers.OnBeat(net.now + kMillisecond, net.owner, 1, {});
   EXPECT_EQ(asker.peers.OwnerOf("maker"), net.other);
-  asker.peers.OnBeat(net.now + GatewayPeers::kUnreachable, net.owner, 1, {});
+  asker.peers.OnBeat(net.now + GatewayPeers::kUnreachableDuration, net.owner, 1,
+                     {});
   EXPECT_EQ(asker.peers.OwnerOf("maker"), net.owner);
 }
 
@@ -273,9 +274,9 @@
   peers.OnBeat(now, "a", 1, {});
   peers.OnBeat(now, "b", 1, {});
   EXPECT_EQ(peers.Live(), 3U);
-  EXPECT_TRUE(peers.TakeLost(now + GatewayPeers::kSilent).empty());
-  peers.OnBeat(now + GatewayPeers::kSilent, "b", 2, {});
-  EXPECT_EQ(peers.TakeLost(now + GatewayPeers::kSilent + 1),
+  EXPECT_TRUE(peers.TakeLost(now + GatewayPeers::kPeerTimeout).empty());
+  peers.OnBeat(now + GatewayPeers::kPeerTimeout, "b", 2, {});
+  EXPECT_EQ(peers.TakeLost(now + GatewayPeers::kPeerTimeout + 1),
             (std::vector<NodeId>{"a", "b"}));
   EXPECT_EQ(peers.Live(), 2U);
 }
@@ -302,7 +303,7 @@
     lost = peers.TakeLost(now);
   }
   EXPECT_EQ(lost, std::vector<NodeId>{"b"});
-  EXPECT_LE(now - resumed, GatewayPeers::kSilent);
+  EXPECT_LE(now - resumed, GatewayPeers::kPeerTimeout);
 }
 
 // Guards against: a beat that is read before the first look counts for as much
@@ -315,7 +316,7 @@
   now += 10 * kSecond;
   peers.OnBeat(now, "a", 1, {});
   peers.OnTick(now);
-  now += GatewayPeers::kSilent + 1;
+  now += GatewayPeers::kPeerTimeout + 1;
   EXPECT_EQ(peers.TakeLost(now), std::vector<NodeId>{"a"});
 }
 
@@ -329,7 +330,7 @@
   peers.OnBeat(now, "a", 1, {});
   std::vector<NodeId> lost;
   for (int n = 0; n < 10 && lost.empty(); ++n) {
-    now += 2 * GatewayPeers::kLongestTurn;
+    now += 2 * GatewayPeers::kMaxTickInterval;
     peers.OnTick(now);
     lost = peers.TakeLost(now);
   }
@@ -367,8 +368,8 @@
   GatewayBeat slow;
   slow.period = 5 * GatewayPeers::kBeat;
   peers.OnBeat(now, "slow", 1, slow);
-  EXPECT_TRUE(peers.TakeLost(now + 4 * GatewayPeers::kSilent).empty());
-  EXPECT_EQ(peers.TakeLost(now + 6 * GatewayPeers::kSilent).size(), 1U);
+  EXPECT_TRUE(peers.TakeLost(now + 4 * GatewayPeers::kPeerTimeout).empty());
+  EXPECT_EQ(peers.TakeLost(now + 6 * GatewayPeers::kPeerTimeout).size(), 1U);
 }
 
 TEST(GatewayPeersTest, KnowsWhetherAnotherMayCheckKeys) {
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -215,7 +215,7 @@
   net.Run(kSilentBound);
   EXPECT_NE(net.StateAt("e0", "s7"), NodeState::kReady);
   EXPECT_NE(net.StateAt("e1", "s7"), NodeState::kReady);
-  net.Run(Membership::kDeadAfter + kSecond);
+  net.Run(Membership::kDeadTimeout + kSecond);
   EXPECT_EQ(net.StateAt("e0", "s7"), NodeState::kDead);
   EXPECT_EQ(net.lost("e0"), 1);
 }
@@ -228,7 +228,7 @@
   for (int n = 0; n < 10; ++n) {
     net.sidecar(StrCat("s", n)).alive = false;
   }
-  net.Run(kSilentBound + Membership::kDeadAfter + kSecond);
+  net.Run(kSilentBound + Membership::kDeadTimeout + kSecond);
   for (int n = 0; n < 20; ++n) {
     EXPECT_EQ(net.StateAt("e1", StrCat("s", n)),
               n < 10 ? NodeState::kDead : NodeState::kReady)
@@ -284,7 +284,7 @@
   Membership& membership = net.membership("e0");
   membership.OnHostList(net.now, {{"s0", true}});
   EXPECT_EQ(net.StateAt("e0", "s0"), NodeState::kReady);
-  net.Run(Membership::kListLag);
+  net.Run(Membership::kMaxHostListLag);
   membership.OnHostList(net.now, {{"s0", true}});
   EXPECT_EQ(net.StateAt("e0", "s0"), NodeState::kLeaving);
   net.Run(5 * kSecond);
@@ -303,12 +303,12 @@
   net.Run(10 * kSecond);
   net.questions = 0;
   net.Run(60 * kSecond);
-  const auto bytes = net.questions * Membership::kQuestionBytes / 60;
+  const auto bytes = net.questions * Membership::kProbeBytes / 60;
   EXPECT_LT(bytes, 5600U);
   net.lost_percent = 20;
   net.questions = 0;
   net.Run(60 * kSecond);
-  EXPECT_LT(net.questions * Membership::kQuestionBytes / 60, 9000U);
+  EXPECT_LT(net.questions * Membership::kProbeBytes / 60, 9000U);
 }
 
 }  // namespace
