--- a/tests/gateway/fill_call_test.cc
+++ b/tests/gateway/fill_call_test.cc
@@ -1,4 +1,4 @@
-// Which waiting pieces a call takes when many wait.
+// Tests which waiting pieces a call takes when many wait.
 #include "coordination/stages/fill_call.h"
 
 #include <gtest/gtest.h>
@@ -26,10 +26,9 @@
       [&](std::size_t sum, std::size_t n) { return sum + groups[n].pieces; });
 }
 
-// Load: a burst leaves requests of 8 to 40 pieces before a stage whose calls
-// take 66. Callers wait for as many calls as it takes to make all of them, so
-// no call goes with a quarter of its places empty while a smaller request
-// waits.
+// A burst leaves requests of 8 to 40 pieces before a stage whose calls hold 66.
+// Requests wait for as many calls as all pieces take, so no call may leave a
+// quarter of its capacity unused while a smaller request waits.
 TEST(FillCallTest, FillsCallsFromALongQueue) {
   std::mt19937 random(1);
   std::uniform_int_distribution<std::size_t> size(8, 40);
@@ -43,7 +42,7 @@
   std::size_t pieces = 0;
   while (groups.size() > 60) {
     const auto taken = FillCall(groups, {66, 66, 0});
-    EXPECT_EQ(taken.front(), 0U);  // Nobody is passed over for good.
+    EXPECT_EQ(taken.front(), 0U);  // The oldest request is always taken.
     pieces += PiecesOf(groups, taken);
     ++calls;
     std::vector<WaitingGroup> left;
@@ -57,8 +56,8 @@
   EXPECT_GT(static_cast<double>(pieces) / static_cast<double>(calls), 63);
 }
 
-// Load: inputs lie in four failure domains. A replica takes the requests of its
-// own first, however many others came a little earlier.
+// Inputs are in four failure domains. A replica takes the requests of its own
+// domain first, although many others arrived a little earlier.
 TEST(FillCallTest, TakesWhatIsNearFirst) {
   std::vector<WaitingGroup> groups;
   groups.reserve(8);
@@ -69,15 +68,17 @@
   EXPECT_EQ(FillCall(groups, {20, 20, 0}), (std::vector<std::size_t>{6, 7}));
 }
 
-// ... but not before what has waited longer by a call's time, so that a domain
-// whose replicas are slow does not leave its requests behind.
+// A request that has waited longer by the duration of a call goes before one
+// with near inputs, so the requests of a domain with slow replicas do not
+// starve.
 TEST(FillCallTest, TakesWhatWaitedMuchLongerBeforeWhatIsNear) {
   std::vector<WaitingGroup> groups = {Group(10), Group(10, kNearAgeBonus + 1)};
   groups[0].inputs_near = false;
   EXPECT_EQ(FillCall(groups, {10, 10, 0}), (std::vector<std::size_t>{0}));
 }
 
-// Urgent requests never wait behind patient ones that are near.
+// A request of higher priority goes before one of lower priority with near
+// inputs.
 TEST(FillCallTest, TakesUrgentBeforeNear) {
   std::vector<WaitingGroup> groups = {Group(10), Group(10)};
   groups[0].priority = 2;
@@ -85,14 +86,14 @@
   EXPECT_EQ(FillCall(groups, {10, 10, 0}), (std::vector<std::size_t>{1}));
 }
 
-TEST(FillCallTest, PassesOverWhatHasNoMemory) {
+TEST(FillCallTest, SkipsGroupsWithoutMemory) {
   std::vector<WaitingGroup> groups = {Group(10), Group(20, 1), Group(5, 2)};
   groups[1].memory_limit = 15;
   EXPECT_EQ(FillCall(groups, {40, 40, 0}), (std::vector<std::size_t>{0, 2}));
 }
 
-// With several replicas free, each takes its share and the rest goes to the
-// next.
+// If several replicas are free, each takes its share and the remaining pieces
+// go to the next.
 TEST(FillCallTest, StopsAtItsShare) {
   const std::vector<WaitingGroup> groups = {Group(4), Group(4, 1), Group(4, 2)};
   EXPECT_EQ(FillCall(groups, {5, 40, 0}).size(), 2U);
--- a/tests/gateway/freshness_test.cc
+++ b/tests/gateway/freshness_test.cc
@@ -1,5 +1,5 @@
-// How long after the store's acknowledgement a gateway still goes by what was
-// true before.
+// Tests how long after the store's acknowledgement of a change a gateway still
+// acts on the state before it.
 #include "coordination/tables/freshness_plan.h"
 
 #include <gtest/gtest.h>
@@ -14,135 +14,140 @@
 namespace acaciachute {
 namespace {
 
-// After which nothing new may reach a replica that left.
-constexpr DurationUs kBound = TableNet::kBound;
-// Of it, for what follows a choice: a connection, and the way to the replica.
-constexpr DurationUs kUntilThere = kBound / 4;
+// Time after which no new request may reach a replica that left.
+constexpr DurationUs kMaxStaleness = TableNet::kMaxStaleness;
+// Part of the bound for the steps after a choice: connecting, and the transfer
+// to the replica.
+constexpr DurationUs kDispatchTime = kMaxStaleness / 4;
 
-// Gateways that reach the store, whoever else does not.
-std::vector<std::size_t> InTouch(TableNet* net) {
-  std::vector<std::size_t> in_touch;
+// The running gateways that reach the store.
+std::vector<std::size_t> GatewaysReachingStore(TableNet* net) {
+  std::vector<std::size_t> reaching;
   for (std::size_t n = 0; n < net->size(); ++n) {
     const TableNet::Node& it = net->node(n);
-    if (it.mood == TableNet::Mood::kServes && it.alive && !it.frozen) {
-      in_touch.push_back(n);
+    if (it.store_behavior == TableNet::StoreBehavior::kServes && it.alive &&
+        !it.frozen) {
+      reaching.push_back(n);
     }
   }
-  return in_touch;
+  return reaching;
 }
 
-// Until no gateway in touch would choose the replica any more.
-DurationUs UntilNoneChooses(TableNet* net, const std::string& replica) {
+// Returns the time until no gateway that reaches the store would choose the
+// replica.
+DurationUs TimeUntilNoneChooses(TableNet* net, const std::string& replica) {
   return net->RunUntil(
       [&] {
-        const auto in_touch = InTouch(net);
-        return std::none_of(in_touch.begin(), in_touch.end(), [&](auto n) {
+        const auto reaching = GatewaysReachingStore(net);
+        return std::none_of(reaching.begin(), reaching.end(), [&](auto n) {
           return net->node(n).directory->TakesWork(replica);
         });
       },
       20 * kSecond);
 }
 
-// Guards against: a gateway that reaches the store goes by a list of any age,
-// because the gateway that it asks has lost the store and has not noticed.
+// Guards against a gateway that reaches the store but uses a list of any age,
+// because the gateway that it asks has lost the store without noticing.
 TEST(FreshnessTest, AListIsYoungAlthoughTheRelayLostTheStore) {
   TableNet net(23, 4);
   net.Run(5 * kSecond);
-  net.Silence(net.Relays().front());
+  net.StopStoreAnswers(net.Relays().front());
   DurationUs oldest = 0;
   for (int n = 0; n < 600; ++n) {
     net.Run(TableNet::kTick);
-    for (const std::size_t it : InTouch(&net)) {
+    for (const std::size_t it : GatewaysReachingStore(&net)) {
       oldest = std::max(oldest, net.Age(it));
     }
   }
-  EXPECT_LE(oldest, kBound - kUntilThere);
+  EXPECT_LE(oldest, kMaxStaleness - kDispatchTime);
 }
 
-// Guards against: a gateway keeps a replica whose row is gone as if the store
-// had been away, when only the gateway that it asked had lost the store.
+// Guards against a gateway that keeps a replica whose row was removed, as
+// during an outage of the store, although only its relay had lost the store.
 TEST(FreshnessTest, ARemovedReplicaIsNotKeptBecauseTheRelayLostTheStore) {
   TableNet net(23, 4);
   net.Write("replica-1", "1");
   net.Write("replica-2", "1");
   net.Run(5 * kSecond);
-  net.Silence(net.Relays().front());
+  net.StopStoreAnswers(net.Relays().front());
   net.Run(TableNet::kTick);
   net.Remove("replica-1");
-  EXPECT_LE(UntilNoneChooses(&net, "replica-1"), kBound - kUntilThere);
+  EXPECT_LE(TimeUntilNoneChooses(&net, "replica-1"),
+            kMaxStaleness - kDispatchTime);
 }
 
-// What may be wrong with the gateway that others ask.
-enum class Trouble {
+// Faults of the gateway that others ask.
+enum class RelayFault {
   kLostStore,
-  kTurnedAway,
+  kRefused,
   kFrozen,
-  kCutFromAll,
-  kCutOneWay,
+  kIsolated,
+  kOneWayPartition,
   kSlow,
   kKilled,
 };
-inline constexpr std::array<std::string_view, 7> kTroubleNames = {
+inline constexpr std::array<std::string_view, 7> kRelayFaultNames = {
     "LostStore", "TurnedAway", "Frozen", "CutFromAll",
     "CutOneWay", "Slow",       "Killed"};
-std::string_view Name(Trouble v) {
-  return detail::NameIn(kTroubleNames, v);
+std::string_view Name(RelayFault v) {
+  return detail::NameIn(kRelayFaultNames, v);
 }
 
 class FreshnessBoundTest
-    : public ::testing::TestWithParam<std::tuple<DurationUs, Trouble>> {
+    : public ::testing::TestWithParam<std::tuple<DurationUs, RelayFault>> {
  protected:
-  void Begin(TableNet* net, std::size_t relay) {
-    switch (std::get<Trouble>(GetParam())) {
-      case Trouble::kLostStore:
-        net->Silence(relay);
+  void InjectFault(TableNet* net, std::size_t relay) {
+    switch (std::get<RelayFault>(GetParam())) {
+      case RelayFault::kLostStore:
+        net->StopStoreAnswers(relay);
         return;
-      case Trouble::kTurnedAway:
-        net->node(relay).mood = TableNet::Mood::kTurnsAway;
+      case RelayFault::kRefused:
+        net->node(relay).store_behavior = TableNet::StoreBehavior::kRefuses;
         return;
-      case Trouble::kFrozen:
+      case RelayFault::kFrozen:
         net->node(relay).frozen = true;
         return;
-      case Trouble::kCutFromAll:
-        net->Silence(relay);
-        net->SetCut([=](std::size_t from, std::size_t to) {
+      case RelayFault::kIsolated:
+        net->StopStoreAnswers(relay);
+        net->SetPartition([=](std::size_t from, std::size_t to) {
           return from == relay || to == relay;
         });
         return;
-      case Trouble::kCutOneWay:
-        net->SetCut(
+      case RelayFault::kOneWayPartition:
+        net->SetPartition(
             [=](std::size_t from, std::size_t) { return from == relay; });
         return;
-      case Trouble::kSlow:
-        // Runs for one tick in a hundred.
-        net->Silence(relay);
+      case RelayFault::kSlow:
+        // Runs in one of a hundred ticks.
+        net->StopStoreAnswers(relay);
         net->node(relay).runs_every = 100;
         return;
-      case Trouble::kKilled:
+      case RelayFault::kKilled:
         net->Kill(relay);
         return;
     }
   }
-  static void End(TableNet* net, std::size_t relay) {
-    net->node(relay).mood = TableNet::Mood::kServes;
+  static void ClearFault(TableNet* net, std::size_t relay) {
+    net->node(relay).store_behavior = TableNet::StoreBehavior::kServes;
     net->node(relay).frozen = false;
     net->node(relay).runs_every = 1;
-    net->SetCut(nullptr);
+    net->SetPartition(nullptr);
     if (!net->node(relay).alive) {
       net->Restart(relay);
     }
   }
 };
 
-// Guards against: waits along the way from the store add up to more than a
-// bound allows, at some value of the bound, whatever befalls the gateway that
+// Guards against delays between the store and a gateway that add up to more
+// than a bound, for some value of the bound and any fault of the gateway that
 // is asked.
 TEST_P(FreshnessBoundTest, NothingIsChosenThatLeftLongerAgoThanTheBoundAllows) {
   const DurationUs bound = std::get<DurationUs>(GetParam());
-  constexpr int kRounds = 8;  // The removal at another moment in each.
+  // The removal happens at a different time in each.
+  constexpr int kRounds = 8;
   const FreshnessPlan plan = PlanFreshness(bound, 4 * kSecond);
   TableNet net(23, 4, plan);
-  // As slow as the plan allows; the model looks once a tick.
+  // As slow as the plan allows, less the tick that the model takes to check.
   net.SetLatency(plan.store_answer_time - TableNet::kTick);
   for (int n = 0; n < kRounds; ++n) {
     net.Write("replica-" + std::to_string(n), "1");
@@ -152,15 +157,15 @@
     const std::vector<std::size_t> relays = net.Relays();
     const std::size_t relay =
         relays[static_cast<std::size_t>(n) % relays.size()];
-    Begin(&net, relay);
+    InjectFault(&net, relay);
     net.Run(n * bound / kRounds);
     const std::string replica = "replica-" + std::to_string(n);
     net.Remove(replica);
-    EXPECT_LE(UntilNoneChooses(&net, replica), bound - plan.act) << n;
-    End(&net, relay);
-    net.Run(TableNet::kContact + n * bound / 70);
+    EXPECT_LE(TimeUntilNoneChooses(&net, replica), bound - plan.act) << n;
+    ClearFault(&net, relay);
+    net.Run(TableNet::kRecoveryBound + n * bound / 70);
   }
-  EXPECT_TRUE(net.faults().empty()) << net.faults().front();
+  EXPECT_TRUE(net.violations().empty()) << net.violations().front();
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -173,42 +178,43 @@
                                          3 * kSecond,
                                          4 * kSecond,
                                          10 * kSecond),
-                       ::testing::Values(Trouble::kLostStore,
-                                         Trouble::kTurnedAway,
-                                         Trouble::kFrozen,
-                                         Trouble::kCutFromAll,
-                                         Trouble::kCutOneWay,
-                                         Trouble::kSlow,
-                                         Trouble::kKilled)),
+                       ::testing::Values(RelayFault::kLostStore,
+                                         RelayFault::kRefused,
+                                         RelayFault::kFrozen,
+                                         RelayFault::kIsolated,
+                                         RelayFault::kOneWayPartition,
+                                         RelayFault::kSlow,
+                                         RelayFault::kKilled)),
     [](const auto& info) {
-      return std::string(Name(std::get<Trouble>(info.param))) +
+      return std::string(Name(std::get<RelayFault>(info.param))) +
              std::to_string(std::get<DurationUs>(info.param) / kMillisecond);
     });
 
 class FreshnessContactTest : public ::testing::TestWithParam<DurationUs> {};
 
-// Guards against: a question that was lost while the store could not be reached
-// keeps a host from asking anew, for longer than the settings give it.
+// Guards against a request that was lost while the store could not be reached
+// and that keeps a host from sending a new one for longer than the settings
+// allow.
 TEST_P(FreshnessContactTest, WhatTheStoreHoldsIsKnownInTimeAfterItIsBack) {
-  const DurationUs contact = GetParam();
+  const DurationUs recovery_bound = GetParam();
   constexpr int kRounds = 12;
-  const FreshnessPlan plan = PlanFreshness(kBound, contact);
+  const FreshnessPlan plan = PlanFreshness(kMaxStaleness, recovery_bound);
   TableNet net(23, 4, plan);
   net.SetLatency(plan.store_answer_time - TableNet::kTick);
   net.Run(5 * kSecond);
   for (int n = 0; n < kRounds; ++n) {
     for (std::size_t it = 0; it < net.size(); ++it) {
-      net.Silence(it);
+      net.StopStoreAnswers(it);
     }
-    net.Run(kBound + n * contact / kRounds);
+    net.Run(kMaxStaleness + n * recovery_bound / kRounds);
     const std::string value = std::to_string(n + 1);
     net.Write("config", value);
-    net.SetMood(TableNet::Mood::kServes);
+    net.SetStoreBehavior(TableNet::StoreBehavior::kServes);
     const auto known = [&] { return net.AllHold("config", value); };
-    EXPECT_LE(net.RunUntil(known, 20 * kSecond), contact) << n;
-    net.Run(TableNet::kContact + n * 70 * kMillisecond);
+    EXPECT_LE(net.RunUntil(known, 20 * kSecond), recovery_bound) << n;
+    net.Run(TableNet::kRecoveryBound + n * 70 * kMillisecond);
   }
-  EXPECT_TRUE(net.faults().empty()) << net.faults().front();
+  EXPECT_TRUE(net.violations().empty()) << net.violations().front();
 }
 
 INSTANTIATE_TEST_SUITE_P(AllContacts,
@@ -219,9 +225,9 @@
                                            3 * kSecond,
                                            10 * kSecond));
 
-// Guards against: a store that takes longer for each answer than a host waits
-// is never heard, and all go on with what they knew.
-TEST(FreshnessTest, ASlowStoreIsHeard) {
+// Guards against a store whose answers are all ignored because each takes
+// longer than a host waits, so that all hosts keep their old tables.
+TEST(FreshnessTest, AnswersOfASlowStoreAreUsed) {
   TableNet net(23, 4);
   net.Run(5 * kSecond);
   constexpr DurationUs kSlow = 1500 * kMillisecond;
@@ -232,35 +238,38 @@
     net.Run(TableNet::kTick);
     oldest = std::max(oldest, net.OldestAge());
   }
-  // Asked at once, answered, and the answer of the question before it.
+  // The time of three answers: a new request is sent at once, is answered, and
+  // the answer of the previous one comes before it.
   EXPECT_LE(oldest, 3 * kSlow);
   net.Write("config", "1");
   EXPECT_LE(
       net.RunUntil([&] { return net.AllHold("config", "1"); }, 20 * kSecond),
       3 * kSlow);
-  EXPECT_TRUE(net.faults().empty()) << net.faults().front();
+  EXPECT_TRUE(net.violations().empty()) << net.violations().front();
 }
 
-// The sum of all waits, at any value of the bounds.
+// The sum of all time limits stays within the bounds, for any values of the
+// bounds.
 RC_GTEST_PROP(FreshnessPlanTest, WaitsAddUpToLessThanTheBound, ()) {
   const auto ms = rc::gen::inRange<DurationUs>(
       kLeastFreshnessBound / kMillisecond, 100'000);
   const DurationUs bound = *ms * kMillisecond;
-  const DurationUs contact = *ms * kMillisecond;
-  const FreshnessPlan plan = PlanFreshness(bound, contact);
+  const DurationUs recovery_bound = *ms * kMillisecond;
+  const FreshnessPlan plan = PlanFreshness(bound, recovery_bound);
   RC_ASSERT(plan.WorstCaseStaleness() <= bound);
-  RC_ASSERT(plan.RecoveryTime() <= contact);
-  // A store that works is no failure, and one that fails is so in time.
+  RC_ASSERT(plan.RecoveryTime() <= recovery_bound);
+  // A working store never exceeds the time limit, and a failing one is detected
+  // in time.
   RC_ASSERT(plan.store_answer_time < plan.store_timeout);
   RC_ASSERT(plan.store_timeout + plan.max_retry_delay <
             plan.store_retry_period);
-  // Gateways that work need not ask the store themselves.
+  // Working gateways need not ask the store themselves.
   RC_ASSERT(plan.store_wait > 0);
   RC_ASSERT(plan.store_wait + plan.settle_delay < plan.store_request_age);
 }
 
-// A store that holds a question tells when it answered, and nothing is taken
-// for newer than it is, whatever its clock shows.
+// A store that holds a request reports when it answered, and no answer is taken
+// for newer than it is, whatever the store's clock shows.
 RC_GTEST_PROP(RemoteClockTest, NeverPutsAMomentTooLate, ()) {
   RemoteClock clock;
   TimeUs now = 1000 * kSecond;
@@ -268,16 +277,17 @@
   const int steps = *rc::gen::inRange(1, 50);
   for (int n = 0; n < steps; ++n) {
     if (*rc::gen::weightedElement<bool>({{9, false}, {1, true}})) {
-      // It started anew: its clock is behind by more.
+      // The store restarted: its clock is further behind.
       behind += *rc::gen::inRange<DurationUs>(0, 100) * kSecond;
     }
     const TimeUs sent_at = now;
     const TimeUs answered_at =
         sent_at + *rc::gen::inRange<DurationUs>(1, 1500) * kMillisecond;
     now = answered_at + *rc::gen::inRange<DurationUs>(1, 300) * kMillisecond;
-    const TimeUs told = clock.LocalTimeOf(answered_at - behind, sent_at, now);
-    RC_ASSERT(told >= sent_at);
-    RC_ASSERT(told <= answered_at);
+    const TimeUs local_time =
+        clock.LocalTimeOf(answered_at - behind, sent_at, now);
+    RC_ASSERT(local_time >= sent_at);
+    RC_ASSERT(local_time <= answered_at);
   }
 }
 
@@ -287,14 +297,14 @@
   const TimeUs first = 100 * kSecond;
   clock.LocalTimeOf(first + kMillisecond - kBehind, first,
                     first + 2 * kMillisecond);
-  const TimeUs asked_at = first + kSecond;
-  const TimeUs answered_at = asked_at + kSecond;
-  EXPECT_GE(clock.LocalTimeOf(answered_at - kBehind, asked_at,
+  const TimeUs sent_at = first + kSecond;
+  const TimeUs answered_at = sent_at + kSecond;
+  EXPECT_GE(clock.LocalTimeOf(answered_at - kBehind, sent_at,
                               answered_at + kMillisecond),
             answered_at - 5 * kMillisecond);
 }
 
-// A clock that jumps ahead puts no answer into the future.
+// If the remote clock jumps ahead, no answer is placed in the future.
 TEST(RemoteClockTest, StartsAnewWhenTheOtherClockJumpsAhead) {
   RemoteClock clock;
   clock.LocalTimeOf(5 * kSecond, 100 * kSecond, 100 * kSecond + 1);
--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -1,4 +1,5 @@
-// Fleets of a hundred gateways and more that watch one another by beats.
+// Tests fleets of more than a hundred gateways that watch one another by
+// heartbeats.
 #include <gtest/gtest.h>
 
 #include "state/random.h"
@@ -7,28 +8,29 @@
 namespace acaciachute {
 namespace {
 
-// Of a datagram in thirty, at random.
-PeerNet::LosesFn LosesAThirtieth(Random* random) {
+// Loses one datagram in thirty, at random.
+PeerNet::LossFn LoseOneInThirty(Random* random) {
   return [random](std::size_t, std::size_t) { return random->Below(30) == 0; };
 }
 
-// What the caller sees: pieces are made twice and stages begin again on a calm
-// day. All gateways live. At the start each beats every 150 ms, then, among so
-// many, every 2.5 s; those that were not told so took it for silent, beat to it
-// less often, and were taken for silent by it: it batched for itself, and told
-// all others at its shorter period, and so on without end.
-TEST(PeerFleetTest, LiveGatewaysAreNeverCalledSilent) {
+// Guards against pieces that run twice, and stages that start again, although
+// all gateways are alive. At the start each gateway sends a heartbeat every 150
+// ms and later, in a large fleet, every 2.5 s. Peers that were not informed of
+// the longer period took the gateway for dead and sent it fewer heartbeats, so
+// it took them for dead too, batched for itself and announced its shorter
+// period to all others, without end.
+TEST(PeerFleetTest, LiveGatewaysAreNeverTakenForDead) {
   for (const std::size_t n : {18U, 103U, 380U}) {
     PeerNet net(n, n / 6);
     net.Run(10 * kSecond);
-    EXPECT_EQ(net.Lost(), 0U) << n;
+    EXPECT_EQ(net.LostCount(), 0U) << n;
     for (std::size_t i = 0; i < n; ++i) {
       EXPECT_EQ(net.node(i).peers.Live(), n) << i;
     }
   }
 }
 
-// All agree who batches, and a host with a tenth of a core does not.
+// All gateways agree on which one batches.
 TEST(PeerFleetTest, OneGatewayBatchesAService) {
   PeerNet net(103, 18);
   net.Run(5 * kSecond);
@@ -40,18 +42,18 @@
   }
 }
 
-// Beats get lost. Questions find out that their senders live: among the six
-// million beats of a minute there is no verdict.
-TEST(PeerFleetTest, LostBeatsAreNoLostGateways) {
+// Some heartbeats are lost. Probes show that their senders are alive: among the
+// six million heartbeats of a minute no gateway is taken for dead.
+TEST(PeerFleetTest, LostHeartbeatsCauseNoLostGateways) {
   Random random(7);
   PeerNet net(103, 18);
-  net.SetLoses(LosesAThirtieth(&random));
+  net.SetLoss(LoseOneInThirty(&random));
   net.Run(30 * kSecond);
-  EXPECT_EQ(net.Lost(), 0U);
+  EXPECT_EQ(net.LostCount(), 0U);
 }
 
-// A gateway that batches is killed without a word. All others hear of it within
-// the bound for its beats and agree on the next.
+// The batching gateway is killed. All others detect it within the bound for its
+// heartbeats and agree on the next one.
 TEST(PeerFleetTest, ALostBatcherIsReplacedWithinASecond) {
   PeerNet net(103, 18);
   net.Run(5 * kSecond);
@@ -59,8 +61,8 @@
   const std::size_t killed = std::stoul(owner.substr(1));
   net.node(killed).alive = false;
   net.Run(kSecond);
-  const std::size_t asker = killed == 0 ? 1 : 0;
-  const NodeId next = net.node(asker).peers.OwnerOf("first");
+  const std::size_t observer = killed == 0 ? 1 : 0;
+  const NodeId next = net.node(observer).peers.OwnerOf("first");
   EXPECT_NE(next, owner);
   for (std::size_t n = 0; n < net.size(); ++n) {
     if (n != killed) {
@@ -69,42 +71,44 @@
   }
 }
 
-// A third of the fleet is cut off and returns. Nobody stays unheard.
-TEST(PeerFleetTest, HalvesFindEachOtherAgain) {
+// A network partition cuts off a third of the fleet and ends. All gateways see
+// each other again.
+TEST(PeerFleetTest, PartitionedGatewaysReconnect) {
   PeerNet net(103, 18);
   net.Run(5 * kSecond);
-  net.SetLoses([](std::size_t from, std::size_t to) {
+  net.SetLoss([](std::size_t from, std::size_t to) {
     return (from % 3 == 0) != (to % 3 == 0);
   });
   net.Run(15 * kSecond);
   EXPECT_LT(net.node(0).peers.Live(), 103U);
-  net.SetLoses(nullptr);
+  net.SetLoss(nullptr);
   net.Run(3 * kSecond);
   for (std::size_t n = 0; n < net.size(); ++n) {
     EXPECT_EQ(net.node(n).peers.Live(), 103U) << n;
   }
 }
 
-// Load: what a host with a tenth of a core receives. A fleet of 380 costs it no
-// more datagrams a second than one of 30.
-TEST(PeerFleetTest, BeatsAHostReceivesDoNotGrowWithTheFleet) {
-  // A second's mean, over a whole period of those that batch for nobody.
+// A fleet of 380 gateways causes no more datagrams per second at a host with a
+// tenth of a core than one of 30.
+TEST(PeerFleetTest, HeartbeatsPerHostDoNotGrowWithTheFleet) {
+  // Mean per second over a full heartbeat period of the gateways that do not
+  // batch.
   const auto received = [](std::size_t n) {
     PeerNet net(n, n / 6);
     net.Run(kSecond);
     const auto period = static_cast<std::size_t>(
         GatewayPeers::kBeat * static_cast<DurationUs>(n - 1) /
-        static_cast<DurationUs>(GatewayPeers::kPeersAtFullRate));
-    const std::size_t before = net.beats();
+        static_cast<DurationUs>(GatewayPeers::kMaxPeersAtFullRate));
+    const std::size_t before = net.heartbeats_sent();
     net.Run(static_cast<DurationUs>(period));
-    return (net.beats() - before) * kSecond / n / period;
+    return (net.heartbeats_sent() - before) * kSecond / n / period;
   };
   constexpr std::size_t kBatchers = 3;
   constexpr std::size_t kAtFullRate = kSecond / GatewayPeers::kBeat + 1;
-  const std::size_t most =
-      kAtFullRate * (GatewayPeers::kPeersAtFullRate + kBatchers);
-  EXPECT_LE(received(103), most);
-  EXPECT_LE(received(380), most);
+  const std::size_t max_received =
+      kAtFullRate * (GatewayPeers::kMaxPeersAtFullRate + kBatchers);
+  EXPECT_LE(received(103), max_received);
+  EXPECT_LE(received(380), max_received);
 }
 
 }  // namespace
--- a/tests/gateway/peer_net.h
+++ b/tests/gateway/peer_net.h
@@ -1,5 +1,6 @@
-// A fleet of gateways that beat to one another in virtual time: the clock moves
-// in ticks of 10 ms, and a beat arrives one tick after it was sent.
+// A fleet of gateways that exchange heartbeats in virtual time: the clock
+// advances in ticks of 10 ms, and a heartbeat arrives one tick after it was
+// sent.
 #ifndef ACACIACHUTE_TESTS_GATEWAY_PEER_NET_H_
 #define ACACIACHUTE_TESTS_GATEWAY_PEER_NET_H_
 
@@ -26,13 +27,14 @@
     QuietLog log;
     GatewayPeers peers;
     bool alive = true;
-    std::size_t lost = 0;  // Verdicts on others.
+    // Number of other gateways that this one took for dead.
+    std::size_t lost = 0;
   };
 
-  // Whether a datagram between two nodes, by index, is lost.
-  using LosesFn = std::function<bool(std::size_t from, std::size_t to)>;
+  // Whether a datagram between two nodes, given by index, is lost.
+  using LossFn = std::function<bool(std::size_t from, std::size_t to)>;
 
-  // The first `large` of `n` nodes have half a core, the rest a tenth.
+  // The first `large` of `n` nodes have half a core, the others a tenth.
   PeerNet(std::size_t n, std::size_t large) {
     for (std::size_t i = 0; i < n; ++i) {
       nodes_.push_back(std::make_unique<Node>("g" + std::to_string(i),
@@ -48,7 +50,7 @@
   Node& node(std::size_t n) { return *nodes_[n]; }
   std::size_t size() const { return nodes_.size(); }
   TimeUs now() const { return now_; }
-  void SetLoses(LosesFn loses) { loses_ = std::move(loses); }
+  void SetLoss(LossFn is_lost) { is_lost_ = std::move(is_lost); }
 
   void Run(DurationUs time) {
     for (const TimeUs end = now_ + time; now_ < end; now_ += kTick) {
@@ -61,14 +63,14 @@
     }
   }
 
-  std::size_t Lost() const {
+  std::size_t LostCount() const {
     std::size_t n = 0;
     for (const auto& it : nodes_) {
       n += it->lost;
     }
     return n;
   }
-  std::size_t beats() const { return beats_; }
+  std::size_t heartbeats_sent() const { return heartbeats_sent_; }
 
   static bool Batches(const Node& node) {
     for (const char* service : {"first", "second", "third"}) {
@@ -92,15 +94,15 @@
 
   void Send(std::size_t from, const DueBeat& due, bool asks) {
     const std::size_t to = IndexOf(due.node);
-    ++beats_;
-    if (loses_ && loses_(from, to)) {
+    ++heartbeats_sent_;
+    if (is_lost_ && is_lost_(from, to)) {
       return;
     }
     GatewayBeat beat;
     beat.cores = nodes_[from]->cores;
     beat.period = due.promise;
     beat.asks = asks;
-    wire_.push_back({from, to, beat});
+    in_flight_.push_back({from, to, beat});
   }
 
   void Tick(std::size_t n) {
@@ -116,8 +118,8 @@
   }
 
   void Deliver() {
-    const std::deque<Datagram> arrived = std::move(wire_);
-    wire_.clear();
+    const std::deque<Datagram> arrived = std::move(in_flight_);
+    in_flight_.clear();
     for (const Datagram& it : arrived) {
       if (nodes_[it.to]->alive) {
         nodes_[it.to]->peers.OnBeat(now_, nodes_[it.from]->name, 1, it.beat);
@@ -126,10 +128,10 @@
   }
 
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::deque<Datagram> wire_;
-  LosesFn loses_;
+  std::deque<Datagram> in_flight_;
+  LossFn is_lost_;
   TimeUs now_ = 100 * kSecond;
-  std::size_t beats_ = 0;
+  std::size_t heartbeats_sent_ = 0;
 };
 
 }  // namespace acaciachute
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -1,4 +1,5 @@
-// Whom a batcher serves, where it sends, and what failures cost.
+// Tests in which order a batcher takes pieces, to which replicas it sends them,
+// and how it handles failures.
 #include "coordination/stages/piece_batcher.h"
 
 #include <gtest/gtest.h>
@@ -49,8 +50,8 @@
     return order;
   }
   void Add(const PieceOrder& order) { batcher.Add(now, order); }
-  // Begins a piece whose input nothing else needs.
-  PieceOrder BeginSoleUser() {
+  // Starts a piece whose input no other piece needs.
+  PieceOrder StartSoleUser() {
     PieceOrder order = Order("r", 0);
     order.inputs = {"10.0.1.1:80/x"};
     order.sole_users = 1;
@@ -58,12 +59,12 @@
     batcher.Dispatch(now);
     return order;
   }
-  void Pass(DurationUs time) {
+  void Advance(DurationUs time) {
     now += time;
     batcher.OnTick(now);
   }
-  // Answers a call whole.
-  void Make(const PieceCall& call) {
+  // Answers a call with results for all its pieces.
+  void CompleteCall(const PieceCall& call) {
     PieceCallEnd end;
     end.kind = PieceCallEnd::Kind::kAnswered;
     for (const PieceOrder& it : call.pieces) {
@@ -78,14 +79,15 @@
   void OnPiece(const PieceResult& result) override {
     results.push_back(result);
   }
-  void OnInputsRead(const std::vector<std::string>& list) override {
-    read.insert(read.end(), list.begin(), list.end());
+  void OnInputsRead(const std::vector<std::string>& handles) override {
+    read.insert(read.end(), handles.begin(), handles.end());
   }
   bool ShortOfMemory(const std::vector<std::string>&) override {
     return short_of_memory;
   }
-  void FreeAt(const Address&, const std::vector<std::string>& list) override {
-    freed.insert(freed.end(), list.begin(), list.end());
+  void FreeAt(const Address&,
+              const std::vector<std::string>& handles) override {
+    freed.insert(freed.end(), handles.begin(), handles.end());
   }
   void OnReplica(const ReplicaEntry& replica, DirectoryChange change) override {
     if (change == DirectoryChange::kGone) {
@@ -107,36 +109,36 @@
   bool short_of_memory = true;
 };
 
-// Load: pieces of many requests at once. They share calls, up to the batch.
+// Pieces of many requests arrive at once and share calls, up to the batch size.
 TEST(PieceBatcherTest, FillsCallsOverRequests) {
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 25; ++n) {
     rig.Add(BatcherRig::Order("r" + std::to_string(n), 0));
   }
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 1U);
   EXPECT_EQ(rig.calls[0].pieces.size(), 10U);
-  rig.Make(rig.calls[0]);
+  rig.CompleteCall(rig.calls[0]);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].pieces.size(), 10U);
   EXPECT_EQ(rig.results.size(), 10U);
 }
 
-// Load: two replicas are free and eight pieces wait. Both are used, so that
-// each piece waits for half of the others only.
+// Two replicas are free and eight pieces wait. Both are used, so that each
+// piece waits for half of the others only.
 TEST(PieceBatcherTest, SharesWorkBetweenFreeReplicas) {
   BatcherRig rig;
   rig.AddReplicas(2);
   for (int n = 0; n < 8; ++n) {
     rig.Add(BatcherRig::Order("r" + std::to_string(n), 0));
   }
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[0].pieces.size(), 4U);
 }
 
-// Load: patient pieces wait in numbers when an urgent one comes. It is in the
+// Many pieces of low priority wait when an urgent one arrives. It is in the
 // next call, before all of them.
 TEST(PieceBatcherTest, TakesUrgentPiecesFirst) {
   BatcherRig rig;
@@ -144,15 +146,15 @@
   for (int n = 0; n < 30; ++n) {
     rig.Add(BatcherRig::Order("p" + std::to_string(n), 0, 2));
   }
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   rig.Add(BatcherRig::Order("urgent", 0, 0));
-  rig.Make(rig.calls[0]);
+  rig.CompleteCall(rig.calls[0]);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].pieces[0].key.request, "urgent");
 }
 
-// Load: a backlog of requests that are late already, and one that can still be
-// on time. It goes first.
+// A request that can still be on time goes before a backlog of requests that
+// are late already.
 TEST(PieceBatcherTest, TakesWhatCanBeOnTimeBeforeWhatIsLate) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -161,31 +163,31 @@
     late.time_to_begin = -kMs;
     rig.Add(late);
   }
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   rig.Add(BatcherRig::Order("fresh", 0, 2));
-  rig.Make(rig.calls[0]);
+  rig.CompleteCall(rig.calls[0]);
   EXPECT_EQ(rig.calls[1].pieces[0].key.request, "fresh");
 }
 
-// Requests whose pieces are half made are finished before others begin: their
-// results hold memory that nothing else can use meanwhile.
-TEST(PieceBatcherTest, FinishesBegunRequestsFirst) {
+// Requests with some finished pieces are completed before others start: their
+// results occupy memory meanwhile.
+TEST(PieceBatcherTest, FinishesStartedRequestsFirst) {
   BatcherRig rig;
   rig.AddReplicas(1);
   for (std::uint32_t n = 0; n < 12; ++n) {
     rig.Add(BatcherRig::Order("big", n, 2));
   }
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   rig.Add(BatcherRig::Order("urgent", 0, 0));
-  rig.Make(rig.calls[0]);
+  rig.CompleteCall(rig.calls[0]);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].pieces[0].key.request, "big");
   EXPECT_EQ(rig.calls[1].pieces[2].key.request, "urgent");
 }
 
-// Load: results are not fetched for a while. No more is begun than the replica
-// has room for, and what waits is begun once results are freed.
-TEST(PieceBatcherTest, BeginsNoMoreThanThereIsRoomFor) {
+// Results are not released for a while. No more pieces start than the replica
+// has memory for, and the others start once results are released.
+TEST(PieceBatcherTest, StartsNoMoreThanMemoryAllows) {
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 8; ++n) {
@@ -193,73 +195,74 @@
     order.result_bytes = 30;
     rig.Add(order);
   }
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 1U);
   EXPECT_EQ(rig.calls[0].pieces.size(), 3U);
-  rig.Make(rig.calls[0]);
+  rig.CompleteCall(rig.calls[0]);
   EXPECT_EQ(rig.calls.size(), 1U);
   rig.batcher.Free({rig.results[0].handle});
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].pieces.size(), 1U);
   EXPECT_EQ(rig.freed, std::vector<std::string>{rig.results[0].handle});
 }
 
-// A request still gets its piece although the replica broke off: it is made
-// again elsewhere, and the replica that failed is left alone for a while.
-TEST(PieceBatcherTest, MakesPiecesAgainAfterABrokenCall) {
+// A broken call does not cost the request its piece: the piece runs on another
+// replica, and the replica that failed gets no calls for a while.
+TEST(PieceBatcherTest, RerunsPiecesAfterABrokenCall) {
   BatcherRig rig;
   rig.AddReplicas(2);
   rig.Add(BatcherRig::Order("r", 0));
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 1U);
   rig.batcher.OnCallEnd(rig.now, rig.calls[0].id,
                         {PieceCallEnd::Kind::kBroken, "reset", {}});
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_NE(rig.calls[0].replica, rig.calls[1].replica);
-  rig.Make(rig.calls[1]);
+  rig.CompleteCall(rig.calls[1]);
   ASSERT_EQ(rig.results.size(), 1U);
   EXPECT_EQ(rig.results[0].outcome, PieceOutcome::kMade);
 }
 
-// Load: one replica of two takes four times as long. The pieces of its call are
-// made again at the other one, the first result counts and the second is freed.
+// One of two replicas takes four times as long. The pieces of its call also run
+// on the other one; the first result is used and the second is released.
 TEST(PieceBatcherTest, DoesNotWaitForAStraggler) {
   BatcherRig rig;
   rig.AddReplicas(2);
   rig.Add(BatcherRig::Order("r", 0));
-  rig.Pass(10 * kMs);
-  rig.Pass(700 * kMs);
+  rig.Advance(10 * kMs);
+  rig.Advance(700 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
-  rig.Make(rig.calls[1]);
+  rig.CompleteCall(rig.calls[1]);
   EXPECT_EQ(rig.results.size(), 1U);
-  rig.Make(rig.calls[0]);
-  rig.Pass(10 * kMs);
+  rig.CompleteCall(rig.calls[0]);
+  rig.Advance(10 * kMs);
   EXPECT_EQ(rig.results.size(), 1U);
   EXPECT_EQ(rig.freed.size(), 1U);
 }
 
-// The request hears at once that its piece came too late, instead of waiting
-// for a replica that nobody has.
-TEST(PieceBatcherTest, GivesUpWhatIsOverItsTime) {
+// A piece whose deadline has passed ends at once, although no replica exists
+// that could run it.
+TEST(PieceBatcherTest, EndsPiecesPastTheirDeadline) {
   BatcherRig rig;
   rig.Add(BatcherRig::Order("r", 0));
-  rig.Pass(9 * kSecond);
+  rig.Advance(9 * kSecond);
   ASSERT_EQ(rig.results.size(), 1U);
   EXPECT_EQ(rig.results[0].outcome, PieceOutcome::kLate);
 }
 
-TEST(PieceBatcherTest, MakesNothingForARequestThatWasDropped) {
+TEST(PieceBatcherTest, RunsNothingForADroppedRequest) {
   BatcherRig rig;
   rig.AddReplicas(1);
   rig.Add(BatcherRig::Order("gone", 0));
   rig.batcher.Drop("gone");
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   EXPECT_TRUE(rig.calls.empty());
   EXPECT_TRUE(rig.batcher.Idle());
 }
 
-// Pieces wait a moment for a replica beside what they fetch, then take any.
+// A piece waits for a limited time for a replica in the domain of its inputs,
+// then takes any.
 TEST(PieceBatcherTest, PrefersTheFailureDomainOfItsInputsForAWhile) {
   BatcherRig rig;
   rig.AddReplicas(1, "b");
@@ -268,23 +271,24 @@
   PieceOrder blocker = BatcherRig::Order("blocker", 0);
   blocker.near_domain = "a";
   rig.Add(blocker);
-  rig.Pass(10 * kMs);
-  // Whoever holds the replica in "a", a second piece for "a" waits for it.
+  rig.Advance(10 * kMs);
+  // Whichever piece occupies the replica in "a", another piece for "a" waits
+  // for it.
   PieceOrder near = BatcherRig::Order("near", 0);
   near.near_domain = "a";
   near.time_to_begin = 0;
   const std::size_t before = rig.calls.size();
   rig.Add(near);
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   const bool free_elsewhere = before < 2;
   EXPECT_EQ(rig.calls.size(), before);
-  rig.Pass(PieceBatcher::kMinNearDelay);
+  rig.Advance(PieceBatcher::kMinNearDelay);
   EXPECT_EQ(rig.calls.size(), free_elsewhere ? before + 1 : before);
 }
 
-// Load: large inputs lie in one failure domain, whose replica is at work for
-// 300 ms more. A piece whose request has time to spare waits for it, up to half
-// of that time; bytes between domains are paid for.
+// Large inputs are in one failure domain, whose replica is busy for another 300
+// ms. A piece whose request has time to spare waits for that replica for up to
+// half of that time, because transfers between domains cost fees.
 TEST(PieceBatcherTest, WaitsLongerForItsDomainWhereThereIsTime) {
   BatcherRig rig;
   rig.AddReplicas(1, "a");
@@ -295,30 +299,30 @@
   near.near_domain = "a";
   near.time_to_begin = 400 * kMs;
   rig.Add(near);
-  rig.Pass(PieceBatcher::kMinNearDelay + 10 * kMs);
+  rig.Advance(PieceBatcher::kMinNearDelay + 10 * kMs);
   EXPECT_EQ(rig.calls.size(), 1U);
-  rig.Pass(60 * kMs);
+  rig.Advance(60 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].replica, "m2");
 }
 
-// Load: the queue grows. The wait that is told grows with it, by rank.
-TEST(PieceBatcherTest, TellsWaitsByRank) {
+// The queue grows, and the reported wait grows with it, by rank.
+TEST(PieceBatcherTest, ReportsWaitsByRank) {
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 60; ++n) {
     rig.Add(BatcherRig::Order("r" + std::to_string(n), 0, 2));
   }
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   const PoolWait wait = rig.batcher.ExpectedWait(rig.now);
   EXPECT_LT(wait.Of(0), 400 * kMs);
   EXPECT_GT(wait.Of(2), kSecond);
   EXPECT_GE(wait.late, wait.Of(2));
 }
 
-// Load: more pieces wait than a call takes. Those of one request go together:
-// split over two calls, the results of the first hold memory until the second
-// is over.
+// More pieces wait than a call holds. Those of one request go into the same
+// call: split over two calls, the results of the first would occupy memory
+// until the second ends.
 TEST(PieceBatcherTest, DoesNotSplitARequestOverCalls) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -330,14 +334,14 @@
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 1U);
   EXPECT_EQ(rig.calls[0].pieces.size(), 8U) << "of ten that would fit";
-  rig.Make(rig.calls[0]);
+  rig.CompleteCall(rig.calls[0]);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].pieces.size(), 4U);
 }
 
-// Load: a replica has memory for some of a request's results. Begun in part,
-// they would hold that memory until there is room for the rest; so the request
-// waits, and a smaller one behind it goes first.
+// A replica has memory for some of a request's results. If the request started
+// in part, those results would occupy memory until there is enough for the
+// others; so it waits, and a smaller request behind it goes first.
 TEST(PieceBatcherTest, BeginsARequestOnlyWhereThereIsMemoryForAllOfIt) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -349,7 +353,7 @@
       rig.Add(order);
     }
   };
-  add("r1", 1, 80);  // Of 100 bytes.
+  add("r1", 1, 80);  // Of the 100 bytes of the replica.
   add("r2", 3, 10);
   add("r3", 1, 10);
   rig.batcher.Dispatch(rig.now);
@@ -358,10 +362,10 @@
   EXPECT_EQ(rig.calls[0].pieces[1].key.request, "r3");
 }
 
-// Load: many requests wait for memory, and a replica has a little of it. It
-// looks past those that do not fit, so that a small one is begun, but not past
-// any number of them.
-TEST(PieceBatcherTest, LooksPastABoundedNumberThatDoNotFit) {
+// Many requests wait for memory, and a replica has a little of it. It skips
+// those that do not fit, so that a small one starts, but only a limited number
+// of them.
+TEST(PieceBatcherTest, SkipsALimitedNumberThatDoNotFit) {
   for (const std::size_t large :
        {PieceBatcher::kMaxSkippedGroups - 1, PieceBatcher::kMaxSkippedGroups}) {
     BatcherRig rig;
@@ -384,7 +388,7 @@
   }
 }
 
-// More pieces of one request than a call takes are split all the same.
+// A request with more pieces than a call holds is split.
 TEST(PieceBatcherTest, SplitsARequestThatNoCallCouldTake) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -396,14 +400,14 @@
   EXPECT_EQ(rig.calls[0].pieces.size(), 10U);
 }
 
-// Load: a burst fills the makers of the stage before with results, which are
-// kept only while this stage works on them. Its calls read their inputs at
-// once; when the last of a request's pieces has done so, the results are let
-// go, long before the calls end.
-TEST(PieceBatcherTest, LetsInputsGoOnceEveryPieceHasReadThem) {
+// A burst fills the replicas of the preceding stage with results that are kept
+// only while this stage works on them. Its calls read their inputs at the
+// beginning. When the last of a request's pieces has done so, the results are
+// released, long before the calls end.
+TEST(PieceBatcherTest, ReleasesInputsOnceEveryPieceHasReadThem) {
   BatcherRig rig;
   rig.AddReplicas(1);
-  for (std::uint32_t n = 0; n < 11; ++n) {  // One more than a call takes.
+  for (std::uint32_t n = 0; n < 11; ++n) {  // One more than a call holds.
     PieceOrder order = BatcherRig::Order("r", n);
     order.inputs = {"10.0.1.1:80/x", "10.0.1.2:80/y"};
     order.sole_users = 11;
@@ -411,27 +415,26 @@
   }
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 1U);
-  rig.Pass(150 * kMs);
+  rig.Advance(150 * kMs);
   EXPECT_TRUE(rig.read.empty()) << "one piece has not begun";
 
-  rig.Make(rig.calls[0]);
+  rig.CompleteCall(rig.calls[0]);
   ASSERT_EQ(rig.calls.size(), 2U);
-  rig.Pass(50 * kMs);
+  rig.Advance(50 * kMs);
   EXPECT_TRUE(rig.read.empty()) << "the second call may still be reading";
-  rig.Pass(60 * kMs);
+  rig.Advance(60 * kMs);
   EXPECT_EQ(rig.read,
             (std::vector<std::string>{"10.0.1.1:80/x", "10.0.1.2:80/y"}));
 }
 
-// What the caller sees: an answer, a call later. A piece fails on a calm day,
-// when its inputs' makers have memory to spare. Its inputs are still there, so
-// it alone is made again and not all stages of its request.
+// A piece fails while the replicas with its inputs have free memory. Its inputs
+// are still there, so it alone runs again and not all stages of its request.
 TEST(PieceBatcherTest, KeepsInputsWhereMemoryIsNotShort) {
   BatcherRig rig;
   rig.short_of_memory = false;
   rig.AddReplicas(2);
-  const PieceOrder order = rig.BeginSoleUser();
-  rig.Pass(200 * kMs);
+  const PieceOrder order = rig.StartSoleUser();
+  rig.Advance(200 * kMs);
   EXPECT_TRUE(rig.read.empty());
   PieceCallEnd end;
   end.kind = PieceCallEnd::Kind::kAnswered;
@@ -439,12 +442,12 @@
   rig.batcher.OnCallEnd(rig.now, rig.calls[0].id, end);
   EXPECT_TRUE(rig.results.empty());
   ASSERT_EQ(rig.calls.size(), 2U);
-  rig.Make(rig.calls[1]);
+  rig.CompleteCall(rig.calls[1]);
   ASSERT_EQ(rig.results.size(), 1U);
   EXPECT_EQ(rig.results[0].outcome, PieceOutcome::kMade);
 }
 
-// Another stage needs the same results: nothing is let go here.
+// Another stage needs the same results, so they are not released here.
 TEST(PieceBatcherTest, KeepsInputsThatAnotherStageNeeds) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -452,21 +455,21 @@
   order.inputs = {"10.0.1.1:80/x"};
   rig.Add(order);
   rig.batcher.Dispatch(rig.now);
-  rig.Pass(200 * kMs);
+  rig.Advance(200 * kMs);
   EXPECT_TRUE(rig.read.empty());
 }
 
-// What the caller sees: an answer, later. A replica crashes with a call whose
-// inputs were let go. Sent again, the pieces would be told that their inputs
-// are gone, after a wait in the queue; so the request hears it at once and
-// begins its stages again. A slow call is waited for, as it has its inputs.
-TEST(PieceBatcherTest, SaysAtOnceThatInputsAreGoneWhenTheirCallBreaks) {
+// A replica crashes with a call whose inputs were released. If the pieces were
+// sent again, they would wait in the queue only to find their inputs gone. So
+// the request is notified at once and starts its stages again. A slow call is
+// waited for, as it has its inputs.
+TEST(PieceBatcherTest, ReportsAtOnceThatInputsAreGoneWhenTheirCallBreaks) {
   BatcherRig rig;
   rig.AddReplicas(2);
-  const PieceOrder order = rig.BeginSoleUser();
-  rig.Pass(150 * kMs);
+  const PieceOrder order = rig.StartSoleUser();
+  rig.Advance(150 * kMs);
   ASSERT_EQ(rig.read.size(), 1U);
-  rig.Pass(kSecond);
+  rig.Advance(kSecond);
   EXPECT_EQ(rig.calls.size(), 1U) << "no copy without inputs";
 
   rig.batcher.OnCallEnd(rig.now, rig.calls[0].id,
@@ -476,10 +479,10 @@
   EXPECT_EQ(rig.calls.size(), 1U);
 }
 
-// What the caller sees: an answer, a call later. Two pieces share their inputs.
-// The call of the first breaks after it has read them, and the piece waits for
-// the only replica that is left, at work on the second one. That one has read
-// them too; they are kept until the first has read them again.
+// Two pieces share their inputs. The call of the first one breaks after reading
+// them, and the piece waits for the only other replica, which is busy with the
+// second piece. That one has read the inputs too; they are kept until the first
+// piece has read them again.
 TEST(PieceBatcherTest, KeepsInputsForAPieceThatHasToReadThemAgain) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -487,53 +490,53 @@
     PieceOrder order = BatcherRig::Order("r", n);
     order.inputs = {"10.0.1.1:80/x"};
     order.sole_users = 2;
-    order.result_bytes = 60;  // One fits a replica.
+    order.result_bytes = 60;  // Only one of them fits on a replica.
     rig.Add(order);
   }
   rig.batcher.Dispatch(rig.now);
-  rig.Pass(50 * kMs);
+  rig.Advance(50 * kMs);
   rig.AddReplicas(1);
-  rig.Pass(0);
+  rig.Advance(0);
   ASSERT_EQ(rig.calls.size(), 2U);
-  rig.Pass(60 * kMs);  // The first has read them.
+  rig.Advance(60 * kMs);  // The first call has read the inputs.
   rig.batcher.OnCallEnd(rig.now, rig.calls[0].id,
                         {PieceCallEnd::Kind::kBroken, "reset", {}});
-  rig.Pass(60 * kMs);  // The second has, too.
+  rig.Advance(60 * kMs);  // The second call has read the inputs.
   EXPECT_EQ(rig.calls.size(), 2U);
   EXPECT_TRUE(rig.read.empty()) << "the first waits to read them again";
-  rig.Make(rig.calls[1]);
-  rig.batcher.Free({"10.0.0.2:80/r.1"});  // Makes room.
-  rig.Pass(10 * kMs);
+  rig.CompleteCall(rig.calls[1]);
+  rig.batcher.Free({"10.0.0.2:80/r.1"});  // Frees memory.
+  rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 3U);
-  rig.Pass(110 * kMs);
+  rig.Advance(110 * kMs);
   EXPECT_EQ(rig.read.size(), 1U);
 }
 
-// What the caller sees: an answer from the first call. A slow call is copied
-// before the last piece of the request was begun; then its inputs are let go,
-// and the copy finds them gone. That says nothing of the first call.
-TEST(PieceBatcherTest, ACopyThatFindsItsInputsGoneEndsNothing) {
+// The pieces of an overdue call are queued again before the last piece of the
+// request has started. Then their inputs are released, and the second call does
+// not find them. That does not end the first call, which has read them.
+TEST(PieceBatcherTest, ASecondCallWithoutInputsDoesNotEndTheFirst) {
   BatcherRig rig;
   rig.AddReplicas(2);
   PieceOrder order = BatcherRig::Order("r", 0);
   order.inputs = {"10.0.1.1:80/x"};
   rig.Add(order);
   rig.batcher.Dispatch(rig.now);
-  rig.Pass(kSecond);
+  rig.Advance(kSecond);
   ASSERT_EQ(rig.calls.size(), 2U);
   PieceCallEnd end;
   end.kind = PieceCallEnd::Kind::kAnswered;
   end.results.push_back({order.key, PieceOutcome::kInputGone, ""});
   rig.batcher.OnCallEnd(rig.now, rig.calls[1].id, end);
   EXPECT_TRUE(rig.results.empty());
-  rig.Make(rig.calls[0]);
+  rig.CompleteCall(rig.calls[0]);
   ASSERT_EQ(rig.results.size(), 1U);
   EXPECT_EQ(rig.results[0].outcome, PieceOutcome::kMade);
 }
 
-// Load: a long queue, two replicas, and the answer of one call is lost. The
-// caller of its piece waits for another making, not for four seconds; callers
-// behind it have both replicas, because the one whose answer was lost works on.
+// With a long queue and two replicas, the answer of one call is lost. The
+// pieces of that call run again without waiting for the call's time limit of
+// four seconds, and the replica whose answer was lost continues to get calls.
 TEST(PieceBatcherTest, UsesAReplicaWhoseAnswerWasLost) {
   BatcherRig rig;
   rig.AddReplicas(2);
@@ -546,11 +549,11 @@
   std::size_t answered = 1;
   std::size_t at_lost = 0;
   for (int round = 0; round < 5; ++round) {
-    rig.Pass(340 * kMs);
+    rig.Advance(340 * kMs);
     for (const std::size_t open = rig.calls.size(); answered < open;
          ++answered) {
       at_lost += rig.calls[answered].replica == lost.replica ? 1 : 0;
-      rig.Make(PieceCall(rig.calls[answered]));
+      rig.CompleteCall(PieceCall(rig.calls[answered]));
     }
   }
   EXPECT_GE(at_lost, 2U);
@@ -560,8 +563,8 @@
   EXPECT_EQ(std::count_if(rig.results.begin(), rig.results.end(), is_lost), 1);
 }
 
-// Its results lie at the replica until it forgets them: a call that needs their
-// memory is not begun before.
+// The results of a lost answer occupy the replica's memory until it discards
+// them: a call that needs this memory does not start before.
 TEST(PieceBatcherTest, CountsTheResultsOfALostAnswer) {
   BatcherRig rig;
   rig.AddReplicas(1);
@@ -570,22 +573,22 @@
   rig.Add(large);
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 1U);
-  rig.Pass(kSecond);  // Overdue.
+  rig.Advance(kSecond);  // The call is overdue.
   rig.Add(BatcherRig::Order("small", 0));
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
-  rig.Make(PieceCall(rig.calls[1]));
-  rig.Pass(100 * kMs);
+  rig.CompleteCall(PieceCall(rig.calls[1]));
+  rig.Advance(100 * kMs);
   EXPECT_EQ(rig.calls.size(), 2U) << "the large one has no room beside itself";
-  rig.Pass(4 * kSecond);
+  rig.Advance(4 * kSecond);
   ASSERT_EQ(rig.calls.size(), 3U);
   EXPECT_EQ(rig.calls[2].pieces[0].key.request, "large");
 }
 
-// A replica restarts under its name in the middle of a call. Its pieces are
-// made by another one at once; the account of its memory begins anew, and the
-// new life gets work although the old one's call never ended.
-TEST(PieceBatcherTest, MakesPiecesElsewhereWhenTheirReplicaStartsAgain) {
+// A replica restarts under the same name during a call. Its pieces run again at
+// once; the account of its memory starts from zero, and the new incarnation
+// gets calls although the old one's call never ended.
+TEST(PieceBatcherTest, RerunsPiecesWhenTheirReplicaRestarts) {
   BatcherRig rig;
   ReplicaEntry entry;
   entry.id = {"m", 5};
@@ -597,14 +600,14 @@
   ASSERT_EQ(rig.calls.size(), 1U);
   entry.id.life = 6;
   rig.directory.Put(entry);
-  rig.Pass(10 * kMs);
+  rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].replica, ReplicaId("m", 6));
   EXPECT_EQ(rig.calls[1].held_bytes, 1U);
-  // An answer of the old life that arrives after all changes nothing.
-  rig.Make(rig.calls[0]);
+  // A late answer of the old incarnation has no effect.
+  rig.CompleteCall(rig.calls[0]);
   EXPECT_TRUE(rig.results.empty());
-  rig.Make(rig.calls[1]);
+  rig.CompleteCall(rig.calls[1]);
   EXPECT_EQ(rig.results.size(), 1U);
 }
 
--- a/tests/gateway/queue_rate_test.cc
+++ b/tests/gateway/queue_rate_test.cc
@@ -1,4 +1,4 @@
-// How fast a queue was seen to move.
+// Tests the measurement of how fast a queue moves.
 #include "coordination/stages/queue_rate.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 constexpr DurationUs kStep = 100 * kMillisecond;
 
-TEST(QueueRateTest, SaysNothingBeforeItHasSeenEnough) {
+TEST(QueueRateTest, ReportsNoRateBeforeTheMinimumWindow) {
   QueueRate rate;
   EXPECT_FALSE(rate.TimePerPiece(0));
   rate.OnPiecesStarted(0, 10, true);
@@ -24,12 +24,13 @@
   }
   now -= kStep;
   ASSERT_TRUE(rate.TimePerPiece(now));
-  // Ten pieces a step, one more for the step at the window's begin.
+  // Ten pieces per step, and one more for the step at the beginning of the
+  // window.
   EXPECT_NEAR(*rate.TimePerPiece(now), static_cast<double>(kStep) / 10, 600);
 }
 
-// Load: nothing is begun any more while pieces wait.
-TEST(QueueRateTest, AQueueThatStandsGetsSlower) {
+// No piece starts any more while others wait.
+TEST(QueueRateTest, AStalledQueueGetsSlower) {
   QueueRate rate;
   rate.OnPiecesStarted(0, 10, true);
   const double before = *rate.TimePerPiece(kSecond);
--- a/tests/gateway/relay_plan_test.cc
+++ b/tests/gateway/relay_plan_test.cc
@@ -1,4 +1,4 @@
-// Who asks the store, and whom the others ask.
+// Tests which gateways ask the store, and which relays the others ask.
 #include "coordination/tables/relay_plan.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,8 @@
 namespace acaciachute {
 namespace {
 
-// Gateways "g0" to "gn" over `domains`; one in six is large.
+// `n` gateways named "g0", "g1" and so on, in `domains` failure domains; one in
+// six is a large host.
 std::vector<GatewayHost> Fleet(std::size_t n, std::size_t domains) {
   std::vector<GatewayHost> hosts;
   for (std::size_t i = 0; i < n; ++i) {
@@ -29,8 +30,9 @@
   return relays;
 }
 
-// Load: 103 gateways in six domains, 380 in eight. What asks the store grows
-// with the domains, and none of it has a tenth of a core.
+// With 103 gateways in six domains and 380 in eight, the number of gateways
+// that ask the store grows with the domains, and none of these is a host with a
+// tenth of a core.
 TEST(RelayPlanTest, AFewLargeHostsOfEachDomain) {
   EXPECT_EQ(Relays(Fleet(103, 6)).size(), 6U);
   EXPECT_EQ(Relays(Fleet(380, 8)).size(), 16U);
@@ -54,8 +56,8 @@
   }
 }
 
-// A domain has one large host, which dies: the others find new relays, and the
-// gateways of a domain without any spread over those of the others.
+// A failure domain has no host that could be a relay. Its gateways spread over
+// the relays of the other domains.
 TEST(RelayPlanTest, ALostDomainSpreadsOverTheOthers) {
   std::vector<GatewayHost> hosts = Fleet(103, 6);
   std::erase_if(hosts, [](const GatewayHost& it) { return it.domain == "d0"; });
@@ -67,10 +69,10 @@
   EXPECT_EQ(asked.size(), 5U);
 }
 
-TEST(RelayPlanTest, OneAloneAsksTheStore) {
+TEST(RelayPlanTest, ASingleGatewayAsksTheStore) {
   const GatewayHost self{"a", "d", 0.1};
   EXPECT_TRUE(PlanRelays(self, {self}).is_relay);
-  // One that leaves asks others while there are any.
+  // A gateway that leaves asks relays while there are any.
   EXPECT_TRUE(PlanRelays(self, {}).relays.empty());
 }
 
--- a/tests/gateway/shared_piece_desk_test.cc
+++ b/tests/gateway/shared_piece_desk_test.cc
@@ -1,4 +1,4 @@
-// Gateways that batch for one another, and what happens when one is lost.
+// Tests gateways that batch for one another, and what happens when one is lost.
 #include "coordination/stages/shared_piece_desk.h"
 
 #include <gtest/gtest.h>
@@ -10,10 +10,11 @@
 namespace acaciachute {
 namespace {
 
-// Some gateways with one directory, whose messages arrive when `Deliver` runs.
-struct DeskNet {
+// Several gateways with the same replicas, whose messages arrive when `Deliver`
+// runs.
+struct DispatcherNet {
   struct Node : SharedPieceDeskOutput, PieceBatcherOutput, DirectoryWatcher {
-    Node(DeskNet* owner, const NodeId& node_name)
+    Node(DispatcherNet* owner, const NodeId& node_name)
         : net(owner), name(node_name), peers({node_name, "", 1}, &log) {
       budget.SetLimits({0.2, 200, 10 * kSecond});
       ServingConfig config;
@@ -30,10 +31,10 @@
       directory.Put(entry);
     }
     void SendToPeer(const NodeId& peer, const Message& message) override {
-      net->wire.push_back({name, peer, message});
+      net->in_flight.push_back({name, peer, message});
     }
     void OnOwnPiece(const PieceResult& result) override {
-      got.push_back(result);
+      received.push_back(result);
     }
     void StartCall(const PieceCall& call) override { calls.push_back(call); }
     void OnPiece(const PieceResult& result) override {
@@ -50,19 +51,19 @@
       freed.insert(freed.end(), released.begin(), released.end());
     }
     void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
-    void Take(const NodeId& from, const Message& message, TimeUs now) {
+    void Handle(const NodeId& from, const Message& message, TimeUs now) {
       if (const auto* it = std::get_if<PieceOrders>(&message)) {
         desk.OnPeerOrders(now, from, *it);
       } else if (const auto* drop = std::get_if<PieceDrop>(&message)) {
         desk.OnPeerDrop(*drop);
       } else if (const auto* free = std::get_if<PieceFree>(&message)) {
         desk.OnPeerFree(*free);
-      } else if (const auto* released = std::get_if<PieceResults>(&message)) {
-        desk.OnPeerResults(*released);
+      } else if (const auto* results = std::get_if<PieceResults>(&message)) {
+        desk.OnPeerResults(*results);
       }
     }
 
-    DeskNet* const net;
+    DispatcherNet* const net;
     const NodeId name;
     QuietLog log;
     AttemptBudget budget;
@@ -72,16 +73,16 @@
                          [this](const std::string&) { return &budget; }};
     SharedPieceDesk desk{name, &peers, &local, &directory, this, &log};
     std::vector<PieceCall> calls;
-    std::vector<PieceResult> got;
+    std::vector<PieceResult> received;
     std::vector<std::string> freed;
   };
-  struct Letter {
+  struct InFlightMessage {
     NodeId from;
     NodeId to;
     Message message;
   };
 
-  explicit DeskNet(int n) {
+  explicit DispatcherNet(int n) {
     for (int k = 0; k < n; ++k) {
       const NodeId name = "g" + std::to_string(k);
       nodes[name] = std::make_unique<Node>(this, name);
@@ -102,15 +103,15 @@
   }
   Node& At(const NodeId& name) { return *nodes.at(name); }
   void Deliver() {
-    while (!wire.empty()) {
-      const Letter letter = wire.front();
-      wire.erase(wire.begin());
-      if (!lost.contains(letter.to)) {
-        At(letter.to).Take(letter.from, letter.message, now);
+    while (!in_flight.empty()) {
+      const InFlightMessage next = in_flight.front();
+      in_flight.erase(in_flight.begin());
+      if (!lost.contains(next.to)) {
+        At(next.to).Handle(next.from, next.message, now);
       }
     }
   }
-  void Pass(DurationUs time) {
+  void Advance(DurationUs time) {
     now += time;
     for (auto& [name, node] : nodes) {
       node->local.OnTick(now);
@@ -118,7 +119,7 @@
     }
     Deliver();
   }
-  void Make(Node* node, std::size_t call) {
+  void CompleteCall(Node* node, std::size_t call) {
     PieceCallEnd end;
     end.kind = PieceCallEnd::Kind::kAnswered;
     for (const PieceOrder& it : node->calls.at(call).pieces) {
@@ -138,117 +139,117 @@
 
   TimeUs now = 1000 * kSecond;
   std::map<NodeId, std::unique_ptr<Node>> nodes;
-  std::vector<Letter> wire;
+  std::vector<InFlightMessage> in_flight;
   std::set<NodeId> lost;
   NodeId owner;
   NodeId other;
 };
 
-TEST(SharedPieceDeskTest, GatewaysAgreeOnWhoBatches) {
-  DeskNet net(5);
+TEST(SharedPieceDispatcherTest, GatewaysAgreeOnWhoBatches) {
+  DispatcherNet net(5);
   for (auto& [name, node] : net.nodes) {
     EXPECT_EQ(node->peers.OwnerOf("maker"), net.owner);
   }
 }
 
-// Pieces of two gateways that wait for the one replica share its next call, and
-// each result comes back to the gateway that asked.
-TEST(SharedPieceDeskTest, BringsResultsToTheGatewayThatAsked) {
-  DeskNet net(3);
+// Pieces of two gateways that wait for the only replica share its next call,
+// and each result is returned to the gateway that submitted the piece.
+TEST(SharedPieceDispatcherTest, BringsResultsToTheGatewayThatAsked) {
+  DispatcherNet net(3);
   auto& owner = net.At(net.owner);
-  owner.desk.Submit(net.now, {DeskNet::Order("first")});
-  net.At(net.other).desk.Submit(net.now, {DeskNet::Order("r")});
-  owner.desk.Submit(net.now, {DeskNet::Order("s")});
+  owner.desk.Submit(net.now, {DispatcherNet::Order("first")});
+  net.At(net.other).desk.Submit(net.now, {DispatcherNet::Order("r")});
+  owner.desk.Submit(net.now, {DispatcherNet::Order("s")});
   net.Deliver();
   ASSERT_EQ(owner.calls.size(), 1U);
-  net.Make(&owner, 0);
+  net.CompleteCall(&owner, 0);
   ASSERT_EQ(owner.calls.size(), 2U);
   EXPECT_EQ(owner.calls[1].pieces.size(), 2U);
-  net.Make(&owner, 1);
-  net.Pass(10 * kMillisecond);
-  ASSERT_EQ(net.At(net.other).got.size(), 1U);
-  EXPECT_EQ(net.At(net.other).got[0].key.request, "r");
-  ASSERT_EQ(owner.got.size(), 2U);
-  EXPECT_EQ(owner.got[1].key.request, "s");
+  net.CompleteCall(&owner, 1);
+  net.Advance(10 * kMillisecond);
+  ASSERT_EQ(net.At(net.other).received.size(), 1U);
+  EXPECT_EQ(net.At(net.other).received[0].key.request, "r");
+  ASSERT_EQ(owner.received.size(), 2U);
+  EXPECT_EQ(owner.received[1].key.request, "s");
 }
 
-// Requests go on although the gateway that batches dies with their pieces: they
-// are handed to the next one at once.
-TEST(SharedPieceDeskTest, HandsPiecesOnWhenTheBatchingGatewayIsLost) {
-  DeskNet net(3);
-  net.At(net.other).desk.Submit(net.now, {DeskNet::Order("r")});
+// Requests continue although the batching gateway dies with their pieces: the
+// pieces are sent to the next one at once.
+TEST(SharedPieceDispatcherTest, ResubmitsPiecesWhenTheBatchingGatewayIsLost) {
+  DispatcherNet net(3);
+  net.At(net.other).desk.Submit(net.now, {DispatcherNet::Order("r")});
   net.Deliver();
   net.lost.insert(net.owner);
-  auto& asker = net.At(net.other);
-  asker.peers.OnUnreachable(net.now, net.owner);
-  asker.desk.OnPeerLost(net.now, net.owner);
-  const NodeId next = asker.peers.OwnerOf("maker");
+  auto& requester = net.At(net.other);
+  requester.peers.OnUnreachable(net.now, net.owner);
+  requester.desk.OnPeerLost(net.now, net.owner);
+  const NodeId next = requester.peers.OwnerOf("maker");
   ASSERT_NE(next, net.owner);
-  net.Pass(10 * kMillisecond);
+  net.Advance(10 * kMillisecond);
   ASSERT_EQ(net.At(next).calls.size(), 1U);
-  net.Make(&net.At(next), 0);
-  net.Pass(10 * kMillisecond);
-  EXPECT_EQ(asker.got.size(), 1U);
+  net.CompleteCall(&net.At(next), 0);
+  net.Advance(10 * kMillisecond);
+  EXPECT_EQ(requester.received.size(), 1U);
 }
 
 // A gateway that refuses connections is not tried in a loop: pieces go to a
-// live one, and the dead one counts again only after a beat that was sent
+// live one, and the dead one counts again only after a heartbeat that was sent
 // later.
-TEST(SharedPieceDeskTest, DoesNotTryAnUnreachableGatewayAgainAtOnce) {
-  DeskNet net(2);
-  auto& asker = net.At(net.other);
-  asker.peers.OnUnreachable(net.now, net.owner);
-  asker.peers.OnBeat(net.now + kMillisecond, net.owner, 1, {});
-  EXPECT_EQ(asker.peers.OwnerOf("maker"), net.other);
-  asker.peers.OnBeat(net.now + GatewayPeers::kUnreachableDuration, net.owner, 1,
-                     {});
-  EXPECT_EQ(asker.peers.OwnerOf("maker"), net.owner);
+TEST(SharedPieceDispatcherTest, DoesNotTryAnUnreachableGatewayAgainAtOnce) {
+  DispatcherNet net(2);
+  auto& requester = net.At(net.other);
+  requester.peers.OnUnreachable(net.now, net.owner);
+  requester.peers.OnBeat(net.now + kMillisecond, net.owner, 1, {});
+  EXPECT_EQ(requester.peers.OwnerOf("maker"), net.other);
+  requester.peers.OnBeat(net.now + GatewayPeers::kUnreachableDuration,
+                         net.owner, 1, {});
+  EXPECT_EQ(requester.peers.OwnerOf("maker"), net.owner);
 }
 
-// A gateway that is paused with pieces in hand costs its peers' requests a wait
-// of `kResultTimeout` at most; its late result is freed.
-TEST(SharedPieceDeskTest, DoesNotWaitForASilentGatewayForEver) {
-  DeskNet net(2);
-  auto& asker = net.At(net.other);
-  asker.desk.Submit(net.now, {DeskNet::Order("r")});
+// A gateway that is suspended with pieces in progress delays its peers'
+// requests by `kResultTimeout` at most; its late result is released.
+TEST(SharedPieceDispatcherTest, DoesNotWaitForASilentGatewayForEver) {
+  DispatcherNet net(2);
+  auto& requester = net.At(net.other);
+  requester.desk.Submit(net.now, {DispatcherNet::Order("r")});
   net.Deliver();
   net.now += SharedPieceDesk::kResultTimeout + kMillisecond;
-  asker.peers.TakeLost(net.now);
-  asker.desk.OnTick(net.now);
-  asker.local.OnTick(net.now);
-  ASSERT_EQ(asker.calls.size(), 1U);
-  net.Make(&asker, 0);
-  EXPECT_EQ(asker.got.size(), 1U);
-  asker.desk.OnPeerResults(
+  requester.peers.TakeLost(net.now);
+  requester.desk.OnTick(net.now);
+  requester.local.OnTick(net.now);
+  ASSERT_EQ(requester.calls.size(), 1U);
+  net.CompleteCall(&requester, 0);
+  EXPECT_EQ(requester.received.size(), 1U);
+  requester.desk.OnPeerResults(
       {{{{"r", 0, 0}, PieceOutcome::kMade, "10.0.0.1:80/late"}}});
-  asker.local.OnTick(net.now);
-  EXPECT_EQ(asker.got.size(), 1U);
-  EXPECT_EQ(asker.freed, std::vector<std::string>{"10.0.0.1:80/late"});
+  requester.local.OnTick(net.now);
+  EXPECT_EQ(requester.received.size(), 1U);
+  EXPECT_EQ(requester.freed, std::vector<std::string>{"10.0.0.1:80/late"});
 }
 
-// Load: a burst, and a queue of three seconds at the gateway that batches, as
-// its beats tell. Pieces are not handed to it again while they wait their turn:
-// that would double the messages of those that have the most to do.
-TEST(SharedPieceDeskTest, WaitsAsLongAsTheQueueThatItWasTold) {
-  DeskNet net(2);
-  auto& asker = net.At(net.other);
+// In a burst, the batching gateway reports a queue of three seconds in its
+// heartbeats. Pieces are not sent again while they wait in that queue: that
+// would double the messages to the gateways with the highest load.
+TEST(SharedPieceDispatcherTest, WaitsAsLongAsTheReportedQueue) {
+  DispatcherNet net(2);
+  auto& requester = net.At(net.other);
   PoolWait wait;
   wait.late = 3 * kSecond;
-  asker.desk.OnPeerWaits({{DeskNet::Order("r").service, wait}});
-  asker.desk.Submit(net.now, {DeskNet::Order("r")});
+  requester.desk.OnPeerWaits({{DispatcherNet::Order("r").service, wait}});
+  requester.desk.Submit(net.now, {DispatcherNet::Order("r")});
   net.Deliver();
-  asker.log.events.clear();
+  requester.log.events.clear();
   net.now += SharedPieceDesk::kResultTimeout + kSecond;
-  asker.desk.OnTick(net.now);
-  EXPECT_FALSE(asker.log.Saw("pieces_again"));
+  requester.desk.OnTick(net.now);
+  EXPECT_FALSE(requester.log.Saw("pieces_again"));
   net.now += 2 * kSecond + kMillisecond;
-  asker.desk.OnTick(net.now);
-  EXPECT_TRUE(asker.log.Saw("pieces_again"));
+  requester.desk.OnTick(net.now);
+  EXPECT_TRUE(requester.log.Saw("pieces_again"));
 }
 
-TEST(SharedPieceDeskTest, DropsWhatNobodyWaitsForAnyLonger) {
-  DeskNet net(2);
-  net.At(net.other).desk.Submit(net.now, {DeskNet::Order("r")});
+TEST(SharedPieceDispatcherTest, CancelsPiecesOfAnEndedRequest) {
+  DispatcherNet net(2);
+  net.At(net.other).desk.Submit(net.now, {DispatcherNet::Order("r")});
   net.Deliver();
   net.At(net.other).desk.Drop("r");
   net.Deliver();
@@ -257,11 +258,11 @@
               net.At(net.owner).calls.size() == 1);
 }
 
-// Pieces of a gateway that died are not made for nobody.
-TEST(SharedPieceDeskTest, ForgetsTheRequestsOfALostGateway) {
-  DeskNet net(2);
+// Pieces of a gateway that died are cancelled.
+TEST(SharedPieceDispatcherTest, ForgetsTheRequestsOfALostGateway) {
+  DispatcherNet net(2);
   auto& owner = net.At(net.owner);
-  net.At(net.other).desk.Submit(net.now, {DeskNet::Order("r")});
+  net.At(net.other).desk.Submit(net.now, {DispatcherNet::Order("r")});
   net.Deliver();
   owner.desk.OnPeerLost(net.now, net.other);
   EXPECT_TRUE(owner.desk.ServesNobody());
@@ -281,9 +282,9 @@
   EXPECT_EQ(peers.Live(), 2U);
 }
 
-// Guards against: a gateway that was suspended takes all others for silent and
-// does again what they have in hand.
-TEST(GatewayPeersTest, NobodyIsSilentWhileThisGatewayDidNotRun) {
+// Guards against a gateway that, after a suspension, takes all others for dead
+// and repeats their work.
+TEST(GatewayPeersTest, NoPeerIsLostWhileThisGatewayDidNotRun) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
@@ -294,7 +295,7 @@
   peers.OnTick(now);
   EXPECT_TRUE(peers.TakeLost(now).empty());
   EXPECT_TRUE(log.Saw("suspended"));
-  // One of them died meanwhile.
+  // One of them died during the suspension.
   peers.OnBeat(now + kSecond / 10, "a", 1, {});
   std::vector<NodeId> lost;
   const TimeUs resumed = now;
@@ -306,9 +307,10 @@
   EXPECT_LE(now - resumed, GatewayPeers::kPeerTimeout);
 }
 
-// Guards against: a beat that is read before the first look counts for as much
-// longer as the suspension took.
-TEST(GatewayPeersTest, ABeatReadAfterASuspensionIsOfThatMoment) {
+// Guards against a heartbeat that is read before the first tick after a
+// suspension and then counts as if it had arrived later by the duration of the
+// suspension.
+TEST(GatewayPeersTest, AHeartbeatReadAfterASuspensionCountsFromThen) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
@@ -320,9 +322,9 @@
   EXPECT_EQ(peers.TakeLost(now), std::vector<NodeId>{"a"});
 }
 
-// A host that is so short of its processor that each look comes late still
-// notices, if later.
-TEST(GatewayPeersTest, ASlowHostStillNoticesWhoIsSilent) {
+// A host that is so short of processor time that every tick is late still
+// detects lost gateways, only later.
+TEST(GatewayPeersTest, ASlowHostStillDetectsLostPeers) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
@@ -337,9 +339,9 @@
   EXPECT_EQ(lost, std::vector<NodeId>{"a"});
 }
 
-// Load: 30 gateways that all tell all others. Those for whom nobody waits tell
-// less often, and are given as much longer before they are taken for lost.
-TEST(GatewayPeersTest, BeatsLessOftenAmongMany) {
+// 30 gateways send heartbeats to all others. Those that do not batch send
+// fewer, and have a proportionally longer time limit before they count as lost.
+TEST(GatewayPeersTest, SendsFewerHeartbeatsAmongMany) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
@@ -355,13 +357,14 @@
   EXPECT_EQ(slow, 5 * GatewayPeers::kBeat);
   EXPECT_EQ(peers.DueBeats(now, slow).size(), 30U);
   EXPECT_TRUE(peers.DueBeats(now + slow - 1, slow).empty());
-  // One that begins to batch tells at its new rate at once.
+  // A gateway that begins to batch sends heartbeats with the shorter period at
+  // once.
   EXPECT_EQ(
       peers.DueBeats(now + GatewayPeers::kBeat, GatewayPeers::kBeat).size(),
       30U);
 }
 
-TEST(GatewayPeersTest, WaitsLongerForThoseThatBeatLessOften) {
+TEST(GatewayPeersTest, WaitsLongerForPeersWithLongerPeriods) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
@@ -384,8 +387,8 @@
   EXPECT_FALSE(peers.AnotherIsCurrent());
 }
 
-// Who batches is remembered between requests; a change of the gateways that
-// live, or of their processors, is a change of it at once.
+// The batching gateway is cached between requests. A change of the live
+// gateways, or of their processor shares, takes effect at once.
 TEST(GatewayPeersTest, FollowsChangesOfWhoBatches) {
   QuietLog log;
   GatewayPeers peers({"self", "", 0.01}, &log);
@@ -408,10 +411,9 @@
   EXPECT_EQ(peers.OwnerOf("s"), "self");
 }
 
-// Load: 8 large hosts beside 15 that have a fifth of their processor. No
-// service is batched by a small one, where its requests would queue for the
-// processor, whatever its name is; when the large ones are gone the small ones
-// do it.
+// With 8 large hosts and 15 that have a fifth of their processor share, no
+// service of any name is batched by a small host, where its requests would
+// queue for the processor. When the large hosts leave, the small ones batch.
 TEST(GatewayPeersTest, LeavesBatchingToLargeHosts) {
   QuietLog log;
   GatewayPeers peers({"small-0", "", 0.09}, &log);
@@ -437,7 +439,7 @@
   EXPECT_EQ(peers.OwnerOf("service-1").substr(0, 5), "small");
 }
 
-// A gateway that leaves still finishes what it has, but gets no new pieces.
+// A leaving gateway finishes the pieces it has but gets no new ones.
 TEST(GatewayPeersTest, GivesALeavingGatewayNoNewWork) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
--- a/tests/gateway/store_questions_test.cc
+++ b/tests/gateway/store_questions_test.cc
@@ -1,4 +1,4 @@
-// Questions to the store that are in progress at once.
+// Tests requests to the store that are in flight at the same time.
 #include "coordination/tables/store_questions.h"
 
 #include <gtest/gtest.h>
@@ -10,54 +10,54 @@
 
 struct StoreRig : StoreReader {
   void Ask(const StoreQuestion& question) override {
-    open.push_back(question.id);
+    open_ids.push_back(question.id);
   }
   void Forget(const std::string&, std::uint64_t id) override {
-    std::erase(open, id);
+    std::erase(open_ids, id);
   }
 
-  std::vector<std::uint64_t> open;
-  StoreQuestions questions{"t", this};
+  std::vector<std::uint64_t> open_ids;
+  StoreQuestions requests{"t", this};
 };
 
-// A slow store answers the oldest first, and a question that was lost with its
-// connection must not keep the newest from being asked.
-TEST(StoreQuestionsTest, KeepsTheOldestAndTheNewest) {
+// A slow store answers the oldest request first, and a request that was lost
+// with its connection must not keep the newest one from being sent.
+TEST(StoreRequestsTest, KeepsTheOldestAndTheNewest) {
   StoreRig rig;
   for (int n = 0; n < 10; ++n) {
-    rig.questions.Ask(n * kSecond, {false, "", 5, 0});
-    EXPECT_LE(rig.open.size(), StoreQuestions::kMaxInFlight);
+    rig.requests.Ask(n * kSecond, {false, "", 5, 0});
+    EXPECT_LE(rig.open_ids.size(), StoreQuestions::kMaxInFlight);
   }
-  EXPECT_EQ(rig.open, (std::vector<std::uint64_t>{1, 9, 10}));
-  EXPECT_TRUE(rig.questions.Take(1));
-  EXPECT_FALSE(rig.questions.Take(1));
-  EXPECT_FALSE(rig.questions.Take(5));
+  EXPECT_EQ(rig.open_ids, (std::vector<std::uint64_t>{1, 9, 10}));
+  EXPECT_TRUE(rig.requests.Take(1));
+  EXPECT_FALSE(rig.requests.Take(1));
+  EXPECT_FALSE(rig.requests.Take(5));
 }
 
-TEST(StoreQuestionsTest, AwaitsTheNewestOnlyAndForATime) {
+TEST(StoreRequestsTest, AwaitsTheNewestOnlyAndForATime) {
   StoreRig rig;
-  EXPECT_EQ(rig.questions.Awaited(), nullptr);
-  rig.questions.Ask(0, {false, "", 5, kSecond});
-  rig.questions.Ask(0, {false, "", 5, 0});
-  ASSERT_NE(rig.questions.Awaited(), nullptr);
-  EXPECT_EQ(rig.questions.Awaited()->id, 2U);
-  EXPECT_FALSE(rig.questions.TimeOutAwaited(kSecond - 1, kSecond));
-  const auto late = rig.questions.TimeOutAwaited(kSecond, kSecond);
+  EXPECT_EQ(rig.requests.Awaited(), nullptr);
+  rig.requests.Ask(0, {false, "", 5, kSecond});
+  rig.requests.Ask(0, {false, "", 5, 0});
+  ASSERT_NE(rig.requests.Awaited(), nullptr);
+  EXPECT_EQ(rig.requests.Awaited()->id, 2U);
+  EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond - 1, kSecond));
+  const auto late = rig.requests.TimeOutAwaited(kSecond, kSecond);
   ASSERT_TRUE(late);
   EXPECT_EQ(late->id, 2U);
-  EXPECT_EQ(rig.questions.Awaited(), nullptr);
-  EXPECT_FALSE(rig.questions.TimeOutAwaited(kSecond, kSecond));
-  // Its answer is taken all the same, and so is the older one's.
-  EXPECT_TRUE(rig.questions.Take(2));
-  EXPECT_TRUE(rig.questions.Take(1));
+  EXPECT_EQ(rig.requests.Awaited(), nullptr);
+  EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond, kSecond));
+  // Its answer is still accepted, and so is that of the older request.
+  EXPECT_TRUE(rig.requests.Take(2));
+  EXPECT_TRUE(rig.requests.Take(1));
 }
 
-// What the store was asked to wait comes on top.
-TEST(StoreQuestionsTest, AQuestionThatIsHeldHasItsWaitOnTop) {
+// The time limit starts after the time for which the store holds the request.
+TEST(StoreRequestsTest, TheHoldTimeExtendsTheTimeLimit) {
   StoreRig rig;
-  rig.questions.Ask(0, {false, "", 5, kSecond});
-  EXPECT_FALSE(rig.questions.TimeOutAwaited(kSecond, kSecond));
-  EXPECT_TRUE(rig.questions.TimeOutAwaited(2 * kSecond, kSecond));
+  rig.requests.Ask(0, {false, "", 5, kSecond});
+  EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond, kSecond));
+  EXPECT_TRUE(rig.requests.TimeOutAwaited(2 * kSecond, kSecond));
 }
 
 }  // namespace
--- a/tests/gateway/table_net.h
+++ b/tests/gateway/table_net.h
@@ -1,11 +1,11 @@
-// A fleet of gateways that follow one table of a modelled store, in virtual
-// time: the clock moves in ticks of 10 ms, messages and the store's answers
-// take one.
+// A fleet of gateways that follow one table of a modelled store in virtual
+// time: the clock advances in ticks of 10 ms; messages and the store's answers
+// take one tick.
 //
-// What must hold is checked at every tick of every gateway: its version never
-// goes back, and it holds every row that the store held at the time up to which
-// it claims to know the table. Rows whose keys begin with "replica" are in each
-// gateway's list of replicas, too.
+// These invariants are checked at every tick of every gateway: its version
+// never decreases, and it has every row that the store held at the time up to
+// which it claims to be current. Rows whose keys begin with "replica" are also
+// in each gateway's list of replicas.
 #ifndef ACACIACHUTE_TESTS_GATEWAY_TABLE_NET_H_
 #define ACACIACHUTE_TESTS_GATEWAY_TABLE_NET_H_
 
@@ -29,23 +29,24 @@
 class TableNet {
  public:
   static constexpr DurationUs kTick = 10 * kMillisecond;
-  // Within which news of the store must take effect.
-  static constexpr DurationUs kBound = 3 * kSecond;
-  static constexpr DurationUs kStale = 3750 * kMillisecond;
-  // A host that has reached the store for as long must keep the bounds.
-  static constexpr DurationUs kContact = 4 * kSecond;
-  // The store's clock, against the gateways'.
-  static constexpr DurationUs kStoreBehind = 77 * kSecond;
-  static constexpr DurationUs kBeatEvery = 100 * kMillisecond;
-
-  // How the store meets a gateway.
-  enum class Mood { kServes, kTurnsAway, kSilent };
+  // Time within which a change in the store must take effect.
+  static constexpr DurationUs kMaxStaleness = 3 * kSecond;
+  static constexpr DurationUs kMaxTableAge = 3750 * kMillisecond;
+  // A host that has reached the store for this long must keep the bounds.
+  static constexpr DurationUs kRecoveryBound = 4 * kSecond;
+  // By how much the store's clock is behind the gateways' clocks.
+  static constexpr DurationUs kStoreClockLag = 77 * kSecond;
+  static constexpr DurationUs kHeartbeatPeriod = 100 * kMillisecond;
+
+  // How the store treats a gateway: it answers, refuses its requests, or does
+  // not answer.
+  enum class StoreBehavior { kServes, kRefuses, kNoAnswer };
 
   struct Call {
     std::size_t from = 0;
     StoreQuestion question;
-    TimeUs asked_at = 0;
-    bool unanswered = false;  // Until nobody would hear the answer.
+    TimeUs sent_at = 0;
+    bool unanswered = false;  // Not answered before its time limit.
   };
 
   struct Node : StoreReader, TableRelayOutput, TableListener, DirectoryWatcher {
@@ -60,7 +61,7 @@
       Start();
     }
 
-    // A process that knows nothing.
+    // Starts the process with empty state.
     void Start() {
       ++incarnation;
       rows.clear();
@@ -69,7 +70,7 @@
       lost = false;
       peers = std::make_unique<GatewayPeers>(self, &log);
       directory = std::make_unique<ReplicaDirectory>(this);
-      directory->SetMostKept(kContact);
+      directory->SetMostKept(kRecoveryBound);
       relay = std::make_unique<TableRelay>("t", this);
       source = std::make_unique<TableSource>(
           "t", &net->plan_, peers.get(), this, this, &random, &metrics, &log,
@@ -84,7 +85,7 @@
       net->OnCall({index, question, net->now_, false});
     }
     void Forget(const std::string&, std::uint64_t id) override {
-      std::erase_if(net->calls_open_, [&](const Call& it) {
+      std::erase_if(net->open_calls_, [&](const Call& it) {
         return it.from == index && it.question.id == id;
       });
     }
@@ -92,17 +93,17 @@
       net->Send(index, peer, message);
     }
     void OnTable(const std::string&,
-                 const std::vector<TableRow>& list) override {
+                 const std::vector<TableRow>& table_rows) override {
       rows.clear();
       std::vector<ReplicaEntry> replicas;
-      for (const TableRow& it : list) {
+      for (const TableRow& it : table_rows) {
         rows[it.key] = it.value;
         if (IsReplica(it)) {
           replicas.push_back(EntryOf(it));
         }
       }
       directory->Replace(net->now_, replicas, {});
-      relay->OnTable(list, watch->version());
+      relay->OnTable(table_rows, watch->version());
     }
     void OnRow(const std::string&, const TableRow& row) override {
       if (row.removed) {
@@ -154,22 +155,24 @@
     std::unique_ptr<TableSource> source;
     std::unique_ptr<TableWatch> watch;
     Incarnation incarnation = 0;
-    Mood mood = Mood::kServes;
+    StoreBehavior store_behavior = StoreBehavior::kServes;
     bool alive = true;
     bool frozen = false;
-    int runs_every = 1;  // Of the ticks; more on a host that is slow.
+    // The gateway runs in one of this many ticks; more than one on a slow host.
+    int runs_every = 1;
     std::map<std::string, std::string> rows;
     std::uint64_t version = 0;
     TimeUs known_at = -1;
     bool lost = false;
   };
 
-  using CutFn = std::function<bool(std::size_t from, std::size_t to)>;
+  using PartitionFn = std::function<bool(std::size_t from, std::size_t to)>;
 
-  // Gateways over `domains` failure domains; one in six is large.
+  // `n` gateways in `domains` failure domains; one in six is a large host.
   TableNet(std::size_t n,
            std::size_t domains,
-           const FreshnessPlan& plan = PlanFreshness(kBound, kContact))
+           const FreshnessPlan& plan = PlanFreshness(kMaxStaleness,
+                                                     kRecoveryBound))
       : plan_(plan) {
     Write("config", "0");
     for (std::size_t i = 0; i < n; ++i) {
@@ -185,42 +188,44 @@
   std::size_t size() const { return nodes_.size(); }
   TimeUs now() const { return now_; }
   std::size_t calls() const { return calls_; }
-  std::size_t whole_reads() const { return whole_reads_; }
-  // Whole tables that gateways gave each other.
-  std::size_t whole_replies() const { return whole_replies_; }
-  const std::vector<std::string>& faults() const { return faults_; }
-  void SetCut(CutFn cut) { cut_ = std::move(cut); }
+  std::size_t complete_reads() const { return complete_reads_; }
+  // Replies with complete tables between gateways.
+  std::size_t complete_replies() const { return complete_replies_; }
+  const std::vector<std::string>& violations() const { return violations_; }
+  void SetPartition(PartitionFn partition) {
+    partition_ = std::move(partition);
+  }
   // How long the store takes to answer.
   void SetLatency(DurationUs latency) { latency_ = latency; }
   void DropHistory() { history_from_ = version_; }
-  void SetMood(Mood mood) {
+  void SetStoreBehavior(StoreBehavior store_behavior) {
     for (auto& it : nodes_) {
-      it->mood = mood;
+      it->store_behavior = store_behavior;
     }
   }
 
-  // The gateway loses the store without a word: what it asked before is not
+  // The gateway loses the store without an error: its open requests are not
   // answered either.
-  void Silence(std::size_t n) {
-    nodes_[n]->mood = Mood::kSilent;
-    for (Call& it : calls_open_) {
+  void StopStoreAnswers(std::size_t n) {
+    nodes_[n]->store_behavior = StoreBehavior::kNoAnswer;
+    for (Call& it : open_calls_) {
       it.unanswered = it.unanswered || it.from == n;
     }
   }
 
   void Write(const std::string& key, const std::string& value) {
     rows_[key] = {key, value, ++version_, false};
-    past_[key].emplace_back(now_, value);
+    history_[key].emplace_back(now_, value);
   }
   void Remove(const std::string& key) {
     rows_[key] = {key, "", ++version_, true};
-    past_[key].emplace_back(now_, "");
+    history_[key].emplace_back(now_, "");
   }
 
   DurationUs Age(std::size_t n) const {
     return nodes_[n]->known_at < 0 ? now_ : now_ - nodes_[n]->known_at;
   }
-  // Of the gateways that run and that `counts`.
+  // Largest age of the table among the running gateways.
   DurationUs OldestAge() const {
     DurationUs oldest = 0;
     for (const auto& it : nodes_) {
@@ -239,7 +244,7 @@
     }
     return relays;
   }
-  // Gateways that hold this value, of those that run.
+  // Whether all running gateways have this value.
   bool AllHold(const std::string& key, const std::string& value) const {
     return std::all_of(nodes_.begin(), nodes_.end(), [&](const auto& it) {
       const auto row = it->rows.find(key);
@@ -254,7 +259,7 @@
       it->relay->OnPeerLost(nodes_[n]->name);
       it->source->OnPeerLost(now_, nodes_[n]->name);
     }
-    std::erase_if(calls_open_, [&](const Call& it) { return it.from == n; });
+    std::erase_if(open_calls_, [&](const Call& it) { return it.from == n; });
   }
   void Restart(std::size_t n) {
     nodes_[n]->alive = true;
@@ -266,7 +271,8 @@
       Step();
     }
   }
-  // Until `done`, at most for `time`; returns how long it took.
+  // Runs until `done` returns true, for `time` at most; returns the elapsed
+  // time.
   DurationUs RunUntil(const std::function<bool()>& done, DurationUs time) {
     const TimeUs begin = now_;
     while (now_ - begin < time && !done()) {
@@ -279,7 +285,7 @@
  private:
   const FreshnessPlan plan_;
 
-  struct Letter {
+  struct InFlightMessage {
     std::size_t from = 0;
     std::size_t to = 0;
     Message message;
@@ -292,22 +298,24 @@
 
   void OnCall(Call call) {
     ++calls_;
-    whole_reads_ += call.question.query.whole ? 1 : 0;
-    call.unanswered = nodes_[call.from]->mood == Mood::kSilent;
-    calls_open_.push_back(call);
+    complete_reads_ += call.question.query.whole ? 1 : 0;
+    call.unanswered =
+        nodes_[call.from]->store_behavior == StoreBehavior::kNoAnswer;
+    open_calls_.push_back(call);
   }
   void Send(std::size_t from, const NodeId& to, const Message& message) {
-    letters_.push_back({from, std::stoul(to.substr(1)), message});
+    in_flight_.push_back({from, std::stoul(to.substr(1)), message});
   }
 
-  bool IsTooLate(const Call& call) const {
-    return now_ >= call.asked_at + call.question.heard_for;
+  bool IsExpired(const Call& call) const {
+    return now_ >= call.sent_at + call.question.heard_for;
   }
 
   TableAnswer AnswerOf(const Call& call) const {
     TableAnswer answer;
-    const Mood mood = nodes_[call.from]->mood;
-    if (call.unanswered || IsTooLate(call) || mood != Mood::kServes) {
+    const StoreBehavior store_behavior = nodes_[call.from]->store_behavior;
+    if (call.unanswered || IsExpired(call) ||
+        store_behavior != StoreBehavior::kServes) {
       answer.why = "the store does not answer";
       return answer;
     }
@@ -318,7 +326,7 @@
     }
     answer.kind = TableAnswer::Kind::kRows;
     answer.version = version_;
-    answer.store_time = now_ - kStoreBehind;
+    answer.store_time = now_ - kStoreClockLag;
     for (const auto& [key, row] : rows_) {
       if (query.whole ? !row.removed : row.version > query.after) {
         answer.rows.push_back(row);
@@ -329,21 +337,22 @@
 
   bool IsDue(const Call& call) const {
     const TableQuery& query = call.question.query;
-    if (call.unanswered || IsTooLate(call)) {
-      return IsTooLate(call);
-    }
-    const bool news = query.whole || version_ > query.after ||
-                      nodes_[call.from]->mood != Mood::kServes;
-    return now_ >= call.asked_at + latency_ &&
-           (news || now_ >= call.asked_at + query.wait);
+    if (call.unanswered || IsExpired(call)) {
+      return IsExpired(call);
+    }
+    const bool has_answer =
+        query.whole || version_ > query.after ||
+        nodes_[call.from]->store_behavior != StoreBehavior::kServes;
+    return now_ >= call.sent_at + latency_ &&
+           (has_answer || now_ >= call.sent_at + query.wait);
   }
 
   void AnswerCalls() {
     std::vector<Call> due;
-    std::copy_if(calls_open_.begin(), calls_open_.end(),
+    std::copy_if(open_calls_.begin(), open_calls_.end(),
                  std::back_inserter(due),
                  [&](const Call& it) { return Runs(it.from) && IsDue(it); });
-    std::erase_if(calls_open_,
+    std::erase_if(open_calls_,
                   [&](const Call& it) { return Runs(it.from) && IsDue(it); });
     for (const Call& it : due) {
       nodes_[it.from]->source->OnStoreAnswer(now_, it.question.id,
@@ -352,27 +361,28 @@
   }
 
   void Deliver() {
-    for (const Letter& it : std::exchange(letters_, {})) {
+    for (const InFlightMessage& it : std::exchange(in_flight_, {})) {
       if (nodes_[it.to]->alive && !Runs(it.to)) {
-        letters_.push_back(it);
-      } else if (nodes_[it.to]->alive && !(cut_ && cut_(it.from, it.to))) {
-        Take(it);
+        in_flight_.push_back(it);
+      } else if (nodes_[it.to]->alive &&
+                 !(partition_ && partition_(it.from, it.to))) {
+        Handle(it);
       } else if (!nodes_[it.to]->alive) {
         nodes_[it.from]->source->OnPeerLost(now_, nodes_[it.to]->name);
       }
     }
   }
-  void Take(const Letter& it) {
+  void Handle(const InFlightMessage& it) {
     Node& to = *nodes_[it.to];
     if (const auto* question = std::get_if<TableQuestion>(&it.message)) {
       to.relay->OnQuestion(now_, nodes_[it.from]->name, *question);
     } else if (const auto* reply = std::get_if<TableReply>(&it.message)) {
-      whole_replies_ += reply->answer.rows.size() == rows_.size() ? 1 : 0;
+      complete_replies_ += reply->answer.rows.size() == rows_.size() ? 1 : 0;
       to.source->OnReply(now_, nodes_[it.from]->name, *reply);
     }
   }
 
-  void Beat() {
+  void ExchangeHeartbeats() {
     for (const auto& to : nodes_) {
       if (!Runs(to->index)) {
         continue;
@@ -380,7 +390,7 @@
       to->peers->TakeLost(now_);
       for (const auto& from : nodes_) {
         if (from == to || !Runs(from->index) ||
-            (cut_ && cut_(from->index, to->index))) {
+            (partition_ && partition_(from->index, to->index))) {
           continue;
         }
         GatewayBeat beat;
@@ -392,8 +402,8 @@
   }
 
   void Step() {
-    if (now_ % kBeatEvery == 0) {
-      Beat();
+    if (now_ % kHeartbeatPeriod == 0) {
+      ExchangeHeartbeats();
     }
     Deliver();
     AnswerCalls();
@@ -410,7 +420,7 @@
 
   std::string ValueAt(const std::string& key, TimeUs at) const {
     std::string value;
-    for (const auto& [time, written] : past_.at(key)) {
+    for (const auto& [time, written] : history_.at(key)) {
       if (time <= at) {
         value = written;
       }
@@ -418,41 +428,43 @@
     return value;
   }
 
-  // Values are numbers that grow, so a later one may be held as well.
+  // Checks the invariants. Values are numbers that grow, so a later value is
+  // valid as well.
   void Check(Node* node) {
     if (node->watch->version() < node->version) {
-      faults_.push_back(node->name + " went back");
+      violations_.push_back(node->name + " has a lower version than before");
     }
     node->version = node->watch->version();
     if (node->known_at < 0) {
       return;
     }
-    for (const auto& [key, unused] : past_) {
+    for (const auto& [key, unused] : history_) {
       const std::string due = ValueAt(key, node->known_at - 1);
       const auto it = node->rows.find(key);
       const std::string held = it == node->rows.end() ? "" : it->second;
       const bool later_removal = held.empty() && rows_.at(key).removed;
       if (!due.empty() && !later_removal &&
           (held.empty() || std::stoul(held) < std::stoul(due))) {
-        faults_.push_back(node->name + " claims to know " + key);
+        violations_.push_back(node->name + " claims to be current but lacks " +
+                              key);
       }
     }
   }
 
   std::vector<std::unique_ptr<Node>> nodes_;
   std::map<std::string, TableRow> rows_;
-  std::map<std::string, std::vector<std::pair<TimeUs, std::string>>> past_;
+  std::map<std::string, std::vector<std::pair<TimeUs, std::string>>> history_;
   std::uint64_t version_ = 0;
   std::uint64_t history_from_ = 0;
-  std::vector<Call> calls_open_;
+  std::vector<Call> open_calls_;
   DurationUs latency_ = kTick;
-  std::vector<Letter> letters_;
-  CutFn cut_;
+  std::vector<InFlightMessage> in_flight_;
+  PartitionFn partition_;
   TimeUs now_ = 1000 * kSecond;
   std::size_t calls_ = 0;
-  std::size_t whole_reads_ = 0;
-  std::size_t whole_replies_ = 0;
-  std::vector<std::string> faults_;
+  std::size_t complete_reads_ = 0;
+  std::size_t complete_replies_ = 0;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace acaciachute
--- a/tests/gateway/table_relay_test.cc
+++ b/tests/gateway/table_relay_test.cc
@@ -1,4 +1,5 @@
-// A store asked by few: gateways that follow its table through one another.
+// Tests gateways that follow a table of the store through one another, so that
+// only few ask the store.
 #include <gtest/gtest.h>
 
 #include "tests/gateway/table_net.h"
@@ -6,19 +7,19 @@
 namespace acaciachute {
 namespace {
 
-// Keys are used for 4.5 s after the moment up to which the configuration is
-// known.
+// Keys may be used until the configuration is this old.
 constexpr DurationUs kKeyAge = 4500 * kMillisecond;
-// Within which gateways notice that the one they ask is gone, and ask another.
-constexpr DurationUs kNotice = kSecond;
+// Time within which gateways detect that the relay they ask is lost, and ask
+// another one.
+constexpr DurationUs kRelayReplacementTime = kSecond;
 
-void ExpectSound(const TableNet& net) {
-  EXPECT_TRUE(net.faults().empty()) << net.faults().front();
+void ExpectNoViolations(const TableNet& net) {
+  EXPECT_TRUE(net.violations().empty()) << net.violations().front();
 }
 
-// Load: a hundred gateways, a calm day. Calls to the store grow with the
-// failure domains, not with the gateways, and all know the table well within
-// the bound.
+// With a hundred gateways and no faults, the number of calls to the store grows
+// with the failure domains and not with the gateways, and all gateways keep the
+// table well within the bound.
 TEST(TableRelayTest, FewAskTheStore) {
   for (const std::size_t n : {24U, 103U}) {
     TableNet net(n, 6);
@@ -26,15 +27,14 @@
     const std::size_t before = net.calls();
     net.Run(15 * kSecond);
     EXPECT_LE(net.calls() - before, 6 * 15U) << n;
-    EXPECT_LT(net.OldestAge(), TableNet::kStale);
-    ExpectSound(net);
+    EXPECT_LT(net.OldestAge(), TableNet::kMaxTableAge);
+    ExpectNoViolations(net);
   }
 }
 
-// Load: 30 replicas start one after the other, two a second apart by 30 ms
-// each. Every gateway knows each within a second, and they ask the store a few
-// times.
-TEST(TableRelayTest, NewsReachesAll) {
+// 30 replicas start one after the other, 30 ms apart. Every gateway has each
+// row within a second, and the store is asked only a few times.
+TEST(TableRelayTest, ChangesReachAllGateways) {
   TableNet net(103, 6);
   net.Run(5 * kSecond);
   const std::size_t before = net.calls();
@@ -46,12 +46,12 @@
       net.RunUntil([&] { return net.AllHold("r29", "1"); }, 5 * kSecond);
   EXPECT_LE(took, kSecond);
   EXPECT_LE(net.calls() - before, 6 * 15U);
-  ExpectSound(net);
+  ExpectNoViolations(net);
 }
 
-// What the caller sees: hosts refuse all requests with keys, because the one
-// gateway that they learned the configuration from was killed.
-TEST(TableRelayTest, AKilledRelayIsLeft) {
+// Guards against gateways that refuse all requests with keys because the relay
+// from which they read the configuration was killed.
+TEST(TableRelayTest, AKilledRelayIsReplaced) {
   TableNet net(103, 6);
   net.Run(5 * kSecond);
   for (const std::size_t it : net.Relays()) {
@@ -60,13 +60,13 @@
   net.Write("config", "1");
   const DurationUs took =
       net.RunUntil([&] { return net.AllHold("config", "1"); }, 10 * kSecond);
-  EXPECT_LE(took, kNotice);
-  ExpectSound(net);
+  EXPECT_LE(took, kRelayReplacementTime);
+  ExpectNoViolations(net);
 }
 
-// A relay that freezes answers nothing and closes nothing. What it held answers
-// late, when it wakes, and is older by then than what its followers know.
-TEST(TableRelayTest, AFrozenRelayIsLeftAndBelievedNothingWhenItWakes) {
+// A frozen relay neither answers nor closes its connections. When it resumes,
+// the answers that it held are late and older than the tables of its followers.
+TEST(TableRelayTest, AFrozenRelayIsReplacedAndItsLateAnswersAreIgnored) {
   TableNet net(103, 6);
   net.Run(5 * kSecond);
   const std::vector<std::size_t> relays = net.Relays();
@@ -86,19 +86,19 @@
   }
   net.Run(5 * kSecond);
   EXPECT_LT(net.OldestAge(), kKeyAge);
-  ExpectSound(net);
+  ExpectNoViolations(net);
 }
 
-// The store turns all relays away, at once or by silence, and serves the
-// others. Nobody's knowledge gets older than the bound.
-TEST(TableRelayTest, RelaysThatTheStoreTurnsAwayStayCurrentByOthers) {
-  for (const auto mood :
-       {TableNet::Mood::kTurnsAway, TableNet::Mood::kSilent}) {
+// The store refuses half of the relays, or does not answer them, and serves the
+// other gateways. No gateway's table becomes older than the bound.
+TEST(TableRelayTest, RefusedRelaysStayCurrentThroughOthers) {
+  for (const auto store_behavior : {TableNet::StoreBehavior::kRefuses,
+                                    TableNet::StoreBehavior::kNoAnswer}) {
     TableNet net(103, 6);
     net.Run(5 * kSecond);
     const std::vector<std::size_t> relays = net.Relays();
     for (std::size_t n = 0; n < relays.size() / 2; ++n) {
-      net.node(relays[n]).mood = mood;
+      net.node(relays[n]).store_behavior = store_behavior;
     }
     DurationUs oldest = 0;
     for (int n = 0; n < 150; ++n) {
@@ -106,65 +106,67 @@
       oldest = std::max(oldest, net.OldestAge());
     }
     EXPECT_LT(oldest, kKeyAge);
-    ExpectSound(net);
+    ExpectNoViolations(net);
   }
 }
 
-// All relays are turned away: some of the others ask the store themselves.
-TEST(TableRelayTest, AStoreThatTurnsAllRelaysAwayIsAskedByOthers) {
+// The store refuses all relays: some of the other gateways ask the store
+// themselves.
+TEST(TableRelayTest, AStoreThatRefusesAllRelaysIsAskedByOthers) {
   TableNet net(103, 6);
   net.Run(5 * kSecond);
   for (const std::size_t it : net.Relays()) {
-    net.node(it).mood = TableNet::Mood::kTurnsAway;
+    net.node(it).store_behavior = TableNet::StoreBehavior::kRefuses;
   }
   net.Write("config", "1");
   const DurationUs took =
       net.RunUntil([&] { return net.AllHold("config", "1"); }, 10 * kSecond);
   EXPECT_LE(took, kKeyAge);
-  ExpectSound(net);
+  ExpectNoViolations(net);
 }
 
-// What the caller sees: nobody is served for seconds after an outage that
-// ended. The store is silent to all for 8 s. It is not pressed by all
-// meanwhile, and when it answers again, all know within half a second.
-TEST(TableRelayTest, AllKnowSoonAfterAnOutage) {
-  for (const auto mood :
-       {TableNet::Mood::kTurnsAway, TableNet::Mood::kSilent}) {
+// Guards against gateways that serve no requests for seconds after an outage
+// has ended. The store does not answer any gateway for 8 s. The gateways do not
+// overload it meanwhile, and when it answers again, all are current within a
+// second.
+TEST(TableRelayTest, AllAreCurrentSoonAfterAnOutage) {
+  for (const auto store_behavior : {TableNet::StoreBehavior::kRefuses,
+                                    TableNet::StoreBehavior::kNoAnswer}) {
     TableNet net(103, 6);
     net.Run(5 * kSecond);
     const std::size_t before = net.calls();
-    net.SetMood(mood);
+    net.SetStoreBehavior(store_behavior);
     net.Run(8 * kSecond);
     EXPECT_LE(net.calls() - before, 8 * 60U);
-    net.SetMood(TableNet::Mood::kServes);
+    net.SetStoreBehavior(TableNet::StoreBehavior::kServes);
     net.Write("config", "1");
     const TimeUs back = net.now();
-    // An age counts from the questions: a tick each for the store's answer, the
-    // relay's and what it was asked, and what the clocks may have parted by.
-    constexpr DurationUs kOnTheWay = 5 * TableNet::kTick;
+    // An age counts from the request: one tick each for the store's answer, the
+    // relay's answer and the two requests, and one for the drift of the clocks.
+    constexpr DurationUs kTransitTime = 5 * TableNet::kTick;
     const DurationUs took = net.RunUntil(
         [&] {
           return net.AllHold("config", "1") &&
-                 net.OldestAge() <= net.now() - back + kOnTheWay;
+                 net.OldestAge() <= net.now() - back + kTransitTime;
         },
         5 * kSecond);
     EXPECT_LE(took, kSecond);
-    ExpectSound(net);
+    ExpectNoViolations(net);
   }
 }
 
-// Load: all gateways are killed and start one after the other, while rows of a
-// large table change. Guards against: each that started before the gateway
-// which it asks is given the whole table once more, which takes the link of
-// that gateway for seconds.
+// All gateways are killed and start one after the other, while rows of a large
+// table change. Guards against gateways that receive the complete table a
+// second time because they started before their relay, which occupies the
+// relay's network link for seconds.
 TEST(TableRelayTest, AStartReadsTheTableOnce) {
   TableNet net(103, 6);
   for (std::size_t n = 0; n < net.size(); ++n) {
     net.Write("row-" + std::to_string(n), "0");
   }
   net.Run(5 * kSecond);
-  const std::size_t read = net.whole_reads();
-  const std::size_t replied = net.whole_replies();
+  const std::size_t read = net.complete_reads();
+  const std::size_t replied = net.complete_replies();
   for (std::size_t n = 0; n < net.size(); ++n) {
     net.Kill(n);
   }
@@ -175,19 +177,20 @@
     net.Run(TableNet::kTick);
   }
   net.Run(5 * kSecond);
-  EXPECT_LE(net.whole_reads() - read + net.whole_replies() - replied,
+  EXPECT_LE(net.complete_reads() - read + net.complete_replies() - replied,
             net.size());
-  ExpectSound(net);
+  ExpectNoViolations(net);
 }
 
-// Load: the store stops answering everybody. Callers with keys are served while
-// the configuration is known to be young enough, so it has to be young at any
-// moment at which that may happen: of the five seconds for which a key that was
-// taken away may be used, three are left at every gateway. Questions that wait
-// a tenth of that bound do it, at a few calls a second.
+// The store stops answering all gateways. Requests with keys are served only
+// while the configuration is recent enough, so it must be recent at any moment
+// at which an outage may begin: of the five seconds for which a revoked key may
+// be used, three must be left at every gateway. Hold times of a fifth of that
+// bound achieve it, with a few calls per second.
 TEST(TableRelayTest, AnOutageFindsKeysUsableForMostOfTheirBound) {
   constexpr DurationUs kRevocation = 5 * kSecond;
-  FreshnessPlan plan = PlanFreshness(TableNet::kBound, TableNet::kContact);
+  FreshnessPlan plan =
+      PlanFreshness(TableNet::kMaxStaleness, TableNet::kRecoveryBound);
   plan.store_wait = kRevocation / 5;
   TableNet net(103, 6, plan);
   net.Run(5 * kSecond);
@@ -197,16 +200,16 @@
     EXPECT_LE(net.OldestAge(), kKeyAge - kRevocation * 3 / 5);
   }
   EXPECT_LE(net.calls() - before, 7 * 6 * 3U);
-  ExpectSound(net);
+  ExpectNoViolations(net);
 }
 
-// The store drops its history. The relays read the whole table; the others hear
-// what changed from them.
+// The store drops its history. The relays read the complete table; the other
+// gateways receive the changes from them.
 TEST(TableRelayTest, OnlyRelaysReadTheTableAgain) {
   TableNet net(103, 6);
   net.Write("r1", "1");
   net.Run(5 * kSecond);
-  const std::size_t before = net.whole_reads();
+  const std::size_t before = net.complete_reads();
   net.Write("r2", "1");
   net.Remove("r1");
   net.DropHistory();
@@ -215,14 +218,14 @@
   for (std::size_t n = 0; n < net.size(); ++n) {
     EXPECT_FALSE(net.node(n).rows.contains("r1")) << n;
   }
-  EXPECT_LE(net.whole_reads() - before, 6U);
-  ExpectSound(net);
+  EXPECT_LE(net.complete_reads() - before, 6U);
+  ExpectNoViolations(net);
 }
 
-// What the caller sees: no replica takes its request. A gateway that has to
-// read the whole table asks one that knows less than it did: an empty or older
-// table must not take the place of what it has.
-TEST(TableRelayTest, AnOlderTableIsNoAnswer) {
+// Guards against requests that find no replica because a gateway that had to
+// read the complete table received an empty or older table from a relay and
+// replaced its own.
+TEST(TableRelayTest, AnOlderTableIsNotSent) {
   struct Output : TableRelayOutput {
     void SendToPeer(const NodeId&, const Message& message) override {
       replies.push_back(std::get<TableReply>(message));
@@ -246,11 +249,11 @@
   EXPECT_EQ(output.replies[2].answer.rows.size(), 1U);
 }
 
-// Two halves of the fleet do not see each other: each has relays of its own.
-TEST(TableRelayTest, HalvesFollowTheStoreApart) {
+// A network partition divides the fleet in two: each part has its own relays.
+TEST(TableRelayTest, PartitionedHalvesFollowTheStoreSeparately) {
   TableNet net(103, 6);
   net.Run(5 * kSecond);
-  net.SetCut([](std::size_t from, std::size_t to) {
+  net.SetPartition([](std::size_t from, std::size_t to) {
     return (from < 50) != (to < 50);
   });
   DurationUs oldest = 0;
@@ -263,15 +266,16 @@
   EXPECT_LE(
       net.RunUntil([&] { return net.AllHold("config", "1"); }, 5 * kSecond),
       kSecond);
-  ExpectSound(net);
+  ExpectNoViolations(net);
 }
 
-// One way only: what a relay says is lost, what it hears arrives.
-TEST(TableRelayTest, ARelayThatIsCutOneWayIsLeft) {
+// A partition in one direction: messages from the relays are lost, messages to
+// them arrive.
+TEST(TableRelayTest, ARelayWithAOneWayPartitionIsReplaced) {
   TableNet net(103, 6);
   net.Run(5 * kSecond);
   const std::vector<std::size_t> relays = net.Relays();
-  net.SetCut([&](std::size_t from, std::size_t) {
+  net.SetPartition([&](std::size_t from, std::size_t) {
     return std::find(relays.begin(), relays.end(), from) != relays.end();
   });
   DurationUs oldest = 0;
@@ -280,12 +284,12 @@
     oldest = std::max(oldest, net.OldestAge());
   }
   EXPECT_LT(oldest, kKeyAge);
-  ExpectSound(net);
+  ExpectNoViolations(net);
 }
 
-// All processes are killed and start again. They find the store, then one
-// another; it is not asked for the table more than once by each.
-TEST(TableRelayTest, NoHerdMeetsTheStoreAfterAMassKill) {
+// All processes are killed and start again. They find the store and then one
+// another, and each asks the store for the table only once.
+TEST(TableRelayTest, AMassRestartDoesNotOverloadTheStore) {
   TableNet net(103, 6);
   net.Run(5 * kSecond);
   for (std::size_t n = 0; n < net.size(); ++n) {
@@ -301,19 +305,21 @@
   EXPECT_LE(took, kSecond);
   net.Run(2 * kSecond);
   EXPECT_LE(net.calls() - before, 103 + 6 * 10U);
-  ExpectSound(net);
+  ExpectNoViolations(net);
 }
 
-// Drawn troubles, all at once and one after the other: kills, restarts,
-// freezes, moods of the store, cuts, dropped history, rows that come and go.
-// What a gateway claims to know it knows, at every tick; in peace all catch up.
-TEST(TableRelayTest, DrawnTroublesBreakNoPromise) {
+// Random faults, simultaneous and successive: kills, restarts, freezes,
+// refusals and outages of the store, partitions, dropped history, rows that are
+// written and removed. The invariants hold at every tick, and after the faults
+// all gateways become current.
+TEST(TableRelayTest, InvariantsHoldUnderRandomFaults) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Random random(seed);
     TableNet net(24, 3);
-    std::uint64_t cut = 0;
-    net.SetCut([&](std::size_t from, std::size_t to) {
-      return cut != 0 && from != to && (from * 31 + to * 17) % 7 < cut;
+    std::uint64_t partition = 0;
+    net.SetPartition([&](std::size_t from, std::size_t to) {
+      return partition != 0 && from != to &&
+             (from * 31 + to * 17) % 7 < partition;
     });
     net.Run(3 * kSecond);
     for (int n = 0; n < 60; ++n) {
@@ -329,10 +335,11 @@
           net.node(who).frozen = !net.node(who).frozen;
           break;
         case 3:
-          net.node(who).mood = static_cast<TableNet::Mood>(random.Below(3));
+          net.node(who).store_behavior =
+              static_cast<TableNet::StoreBehavior>(random.Below(3));
           break;
         case 4:
-          cut = random.Below(3);
+          partition = random.Below(3);
           break;
         case 5:
           net.DropHistory();
@@ -347,8 +354,8 @@
       net.Write("config", std::to_string(n));
       net.Run(static_cast<DurationUs>(random.Below(600)) * kMillisecond);
     }
-    cut = 0;
-    net.SetMood(TableNet::Mood::kServes);
+    partition = 0;
+    net.SetStoreBehavior(TableNet::StoreBehavior::kServes);
     for (std::size_t n = 0; n < net.size(); ++n) {
       net.node(n).frozen = false;
       if (!net.node(n).alive) {
@@ -358,8 +365,9 @@
     net.Write("config", "1000");
     net.Run(8 * kSecond);
     EXPECT_TRUE(net.AllHold("config", "1000")) << seed;
-    EXPECT_LT(net.OldestAge(), TableNet::kStale) << seed;
-    ASSERT_TRUE(net.faults().empty()) << seed << ": " << net.faults().front();
+    EXPECT_LT(net.OldestAge(), TableNet::kMaxTableAge) << seed;
+    ASSERT_TRUE(net.violations().empty())
+        << seed << ": " << net.violations().front();
   }
 }
 
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -1,4 +1,4 @@
-// What a gateway makes of other gateways' answers for a table of the store.
+// Tests how a gateway handles other gateways' answers for a table of the store.
 #include "coordination/tables/table_source.h"
 
 #include <gtest/gtest.h>
@@ -8,15 +8,16 @@
 namespace acaciachute {
 namespace {
 
-constexpr DurationUs kStale = 4 * kSecond;
+constexpr DurationUs kMaxTableAge = 4 * kSecond;
 
 FreshnessPlan Plan() {
-  FreshnessPlan plan = PlanFreshness(2 * kStale, 4 * kSecond);
-  plan.store_request_age = kStale;
+  FreshnessPlan plan = PlanFreshness(2 * kMaxTableAge, 4 * kSecond);
+  plan.store_request_age = kMaxTableAge;
   return plan;
 }
 
-// A small gateway that may ask three large ones, each in a domain of its own.
+// A small gateway that may ask three large ones. One of them is in its own
+// domain.
 struct SourceRig : StoreReader, TableRelayOutput {
   SourceRig() {
     for (const char* it : {"a", "b", "c"}) {
@@ -26,22 +27,23 @@
       peers.OnBeat(now, it, 1, beat);
     }
   }
-  void Ask(const StoreQuestion& question_in) override {
-    ++store_asked;
-    store_questions.push_back(question_in);
+  void Ask(const StoreQuestion& request) override {
+    ++store_request_count;
+    store_requests.push_back(request);
   }
   void Forget(const std::string&, std::uint64_t id) override {
-    forgotten.push_back(id);
+    cancelled.push_back(id);
   }
-  void StoreAnswers(const TableAnswer& answer) {
-    source.OnStoreAnswer(now, store_questions.back().id, answer);
+  void AnswerFromStore(const TableAnswer& answer) {
+    source.OnStoreAnswer(now, store_requests.back().id, answer);
   }
   void SendToPeer(const NodeId& peer, const Message& message) override {
-    asked.push_back(peer);
-    question = std::get<TableQuestion>(message);
+    asked_peers.push_back(peer);
+    last_request = std::get<TableQuestion>(message);
   }
   void Reply(const TableAnswer& answer) {
-    source.OnReply(now, asked.back(), {"t", question.sequence, answer});
+    source.OnReply(now, asked_peers.back(),
+                   {"t", last_request.sequence, answer});
   }
   static TableAnswer Rows(std::uint64_t version, DurationUs known_after) {
     TableAnswer answer;
@@ -51,18 +53,18 @@
     answer.known_after = known_after;
     return answer;
   }
-  // The source knows the table up to `version`, as of now.
-  void Learn(std::uint64_t version) {
+  // Gives the source the table at `version`, current as of now.
+  void ReceiveTable(std::uint64_t version) {
     source.ReadChanges(now, "t", 0, kSecond);
     Reply(Rows(version, 0));
-    got.clear();
+    answers.clear();
   }
 
-  // What it knows gets so old that the store is due to be asked.
-  void LetItGetOld(std::uint64_t version) {
-    Learn(version);
+  // Lets the source's table become so old that the store has to be asked.
+  void LetTableAge(std::uint64_t version) {
+    ReceiveTable(version);
     source.ReadChanges(now, "t", version, kSecond);
-    now += kStale;
+    now += kMaxTableAge;
     source.OnTick(now);
   }
 
@@ -71,151 +73,156 @@
   Random random{5};
   Metrics metrics;
   GatewayPeers peers{{"self", "own", 0.1}, &log};
-  std::vector<NodeId> asked;
-  TableQuestion question;
-  int store_asked = 0;
-  std::vector<StoreQuestion> store_questions;
-  std::vector<std::uint64_t> forgotten;
-  std::vector<TableAnswer> got;
+  std::vector<NodeId> asked_peers;
+  TableQuestion last_request;
+  int store_request_count = 0;
+  std::vector<StoreQuestion> store_requests;
+  std::vector<std::uint64_t> cancelled;
+  std::vector<TableAnswer> answers;
   const FreshnessPlan plan = Plan();
-  TableSource source{"t",
-                     &plan,
-                     &peers,
-                     this,
-                     this,
-                     &random,
-                     &metrics,
-                     &log,
-                     [this](TimeUs, const TableAnswer& it) { got.push_back(it); }};
+  TableSource source{
+      "t",
+      &plan,
+      &peers,
+      this,
+      this,
+      &random,
+      &metrics,
+      &log,
+      [this](TimeUs, const TableAnswer& it) { answers.push_back(it); }};
 };
 
 TEST(TableSourceTest, AsksTheRelayOfItsDomainFirst) {
   SourceRig rig;
   rig.source.ReadRows(rig.now, "t", "");
-  EXPECT_EQ(rig.asked, std::vector<NodeId>{"a"});
-  EXPECT_EQ(rig.store_asked, 0);
+  EXPECT_EQ(rig.asked_peers, std::vector<NodeId>{"a"});
+  EXPECT_EQ(rig.store_request_count, 0);
 }
 
-// The answer comes 500 ms after the question and speaks of a moment 1 s before
-// it arrived. The age counts from the question.
-TEST(TableSourceTest, CountsAgeFromItsQuestion) {
+// The answer arrives 500 ms after the request and was current 1 s before the
+// request arrived. The age counts from when the request was sent.
+TEST(TableSourceTest, CountsAgeFromItsRequest) {
   SourceRig rig;
   rig.source.ReadRows(rig.now, "t", "");
   rig.now += 500 * kMillisecond;
   rig.Reply(SourceRig::Rows(5, -kSecond));
-  ASSERT_EQ(rig.got.size(), 1U);
-  EXPECT_EQ(rig.got[0].known_after, -kSecond);
+  ASSERT_EQ(rig.answers.size(), 1U);
+  EXPECT_EQ(rig.answers[0].known_after, -kSecond);
 }
 
-// A relay that fails in any way: the question goes to another one, and nothing
-// that is known is lost or told to be lost.
-TEST(TableSourceTest, LeavesARelayThatFails) {
+// If a relay fails in any way, the request goes to another one, and no failure
+// is reported.
+TEST(TableSourceTest, ReplacesARelayThatFails) {
   SourceRig rig;
-  rig.Learn(5);
+  rig.ReceiveTable(5);
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
   rig.now += TableRelay::kMaxHoldTime + TableSource::kRelayReplyMargin + 1;
   rig.source.OnTick(rig.now);
-  EXPECT_NE(rig.asked.back(), "a");
-  const NodeId second = rig.asked.back();
+  EXPECT_NE(rig.asked_peers.back(), "a");
+  const NodeId second = rig.asked_peers.back();
   rig.source.OnPeerLost(rig.now, second);
-  EXPECT_NE(rig.asked.back(), second);
-  EXPECT_TRUE(rig.got.empty());
+  EXPECT_NE(rig.asked_peers.back(), second);
+  EXPECT_TRUE(rig.answers.empty());
   rig.Reply(SourceRig::Rows(6, 0));
-  ASSERT_EQ(rig.got.size(), 1U);
-  EXPECT_EQ(rig.got[0].rows.size(), 1U);
+  ASSERT_EQ(rig.answers.size(), 1U);
+  EXPECT_EQ(rig.answers[0].rows.size(), 1U);
 }
 
-// An answer to an earlier question, or from one that was not asked.
-TEST(TableSourceTest, PassesOverAnswersToOtherQuestions) {
+// Ignores an answer to an earlier request, and one from a gateway that was not
+// asked.
+TEST(TableSourceTest, IgnoresAnswersToOtherRequests) {
   SourceRig rig;
-  rig.Learn(5);
+  rig.ReceiveTable(5);
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
-  rig.source.OnReply(rig.now, "a",
-                     {"t", rig.question.sequence - 1, SourceRig::Rows(9, 0)});
+  rig.source.OnReply(
+      rig.now, "a",
+      {"t", rig.last_request.sequence - 1, SourceRig::Rows(9, 0)});
   rig.source.OnReply(rig.now, "b",
-                     {"t", rig.question.sequence, SourceRig::Rows(9, 0)});
-  EXPECT_TRUE(rig.got.empty());
+                     {"t", rig.last_request.sequence, SourceRig::Rows(9, 0)});
+  EXPECT_TRUE(rig.answers.empty());
 }
 
-// A build that we do not know, or a fault: the answer is dropped.
+// An answer of an unknown kind, from another version of the program or after a
+// fault, is dropped.
 TEST(TableSourceTest, DropsAnAnswerOfAnUnknownKind) {
   SourceRig rig;
-  rig.Learn(5);
+  rig.ReceiveTable(5);
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
-  TableAnswer odd = SourceRig::Rows(9, 0);
-  odd.kind = static_cast<TableAnswer::Kind>(77);
-  rig.Reply(odd);
-  EXPECT_TRUE(rig.got.empty());
-  EXPECT_NE(rig.asked.back(), "a");
+  TableAnswer unknown = SourceRig::Rows(9, 0);
+  unknown.kind = static_cast<TableAnswer::Kind>(77);
+  rig.Reply(unknown);
+  EXPECT_TRUE(rig.answers.empty());
+  EXPECT_NE(rig.asked_peers.back(), "a");
 }
 
-// A relay that lags behind what is known tells nothing new: its rows would take
-// a configuration back, and how old they are says nothing.
-TEST(TableSourceTest, TakesNothingFromARelayThatLags) {
+// A relay that has an older version than this gateway has nothing to add: its
+// rows would revert the configuration, and their age says nothing about this
+// gateway's table.
+TEST(TableSourceTest, UsesNothingFromARelayThatLags) {
   SourceRig rig;
-  rig.Learn(9);
+  rig.ReceiveTable(9);
   rig.source.ReadChanges(rig.now, "t", 9, kSecond);
   rig.Reply(SourceRig::Rows(7, 0));
-  ASSERT_EQ(rig.got.size(), 1U);
-  EXPECT_TRUE(rig.got[0].rows.empty());
-  EXPECT_EQ(rig.got[0].version, 9U);
-  EXPECT_FALSE(rig.got[0].known_after);
+  ASSERT_EQ(rig.answers.size(), 1U);
+  EXPECT_TRUE(rig.answers[0].rows.empty());
+  EXPECT_EQ(rig.answers[0].version, 9U);
+  EXPECT_FALSE(rig.answers[0].known_after);
 }
 
-// The relay answers in time but what it knows gets old: it does not reach the
+// The relay answers in time but its data become old: it does not reach the
 // store and has not noticed.
-TEST(TableSourceTest, LeavesARelayWhoseKnowledgeIsOld) {
+TEST(TableSourceTest, ReplacesARelayWhoseDataAreOld) {
   SourceRig rig;
-  rig.Learn(5);
-  rig.now += kStale + 1;
+  rig.ReceiveTable(5);
+  rig.now += kMaxTableAge + 1;
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
   TableAnswer none;
   none.kind = TableAnswer::Kind::kRows;
   none.version = 5;
   none.known_after.reset();
   rig.Reply(none);
-  EXPECT_TRUE(rig.got.empty());
-  EXPECT_NE(rig.asked.back(), "a");
+  EXPECT_TRUE(rig.answers.empty());
+  EXPECT_NE(rig.asked_peers.back(), "a");
 }
 
-// Guards against: replicas whose rows are gone are kept as in an outage,
-// because the gateway that is asked lost the store. Nothing failed while the
-// store has not been asked in vain.
+// Guards against replicas that are kept as during an outage although their rows
+// were removed, because the relay lost the store. It is no failure of the store
+// until the store itself does not answer.
 TEST(TableSourceTest, ARelayThatLostTheStoreIsNoOutage) {
   SourceRig rig;
-  rig.Learn(5);
+  rig.ReceiveTable(5);
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
   TableAnswer lost;
   lost.kind = TableAnswer::Kind::kStoreLost;
   rig.Reply(lost);
-  EXPECT_TRUE(rig.got.empty());
-  EXPECT_NE(rig.asked.back(), "a");
+  EXPECT_TRUE(rig.answers.empty());
+  EXPECT_NE(rig.asked_peers.back(), "a");
   rig.Reply(lost);
   rig.Reply(lost);
-  EXPECT_TRUE(rig.got.empty());
-  EXPECT_EQ(rig.store_asked, 1);
-  rig.StoreAnswers({});
+  EXPECT_TRUE(rig.answers.empty());
+  EXPECT_EQ(rig.store_request_count, 1);
+  rig.AnswerFromStore({});
   rig.Reply(lost);
-  ASSERT_EQ(rig.got.size(), 1U);
-  EXPECT_EQ(rig.got[0].kind, TableAnswer::Kind::kStoreLost);
+  ASSERT_EQ(rig.answers.size(), 1U);
+  EXPECT_EQ(rig.answers[0].kind, TableAnswer::Kind::kStoreLost);
   EXPECT_EQ(rig.source.store_failed_at(), rig.now);
 }
 
-// Guards against: one call that the store refuses, as beyond its rate, lets a
-// gateway whose relay is gone go on with an old table for seconds.
-TEST(TableSourceTest, ASingleRefusalIsAskedAgainSoon) {
+// Guards against a gateway without a relay that keeps an old table for seconds
+// because the store refused a single call, for example beyond its rate limit.
+TEST(TableSourceTest, RetriesSoonAfterASingleRefusal) {
   SourceRig rig;
-  rig.LetItGetOld(5);
-  ASSERT_EQ(rig.store_asked, 1);
-  rig.StoreAnswers({});
+  rig.LetTableAge(5);
+  ASSERT_EQ(rig.store_request_count, 1);
+  rig.AnswerFromStore({});
   rig.now += TableSource::kStoreFirstRetryDelay;
   rig.source.OnTick(rig.now);
-  EXPECT_EQ(rig.store_asked, 2);
-  // A second failure is an outage: the store is not pressed.
-  rig.StoreAnswers({});
+  EXPECT_EQ(rig.store_request_count, 2);
+  // A second failure counts as an outage: the store is not asked again at once.
+  rig.AnswerFromStore({});
   rig.now += TableSource::kStoreFirstRetryDelay;
   rig.source.OnTick(rig.now);
-  EXPECT_EQ(rig.store_asked, 2);
+  EXPECT_EQ(rig.store_request_count, 2);
 }
 
 TableAnswer StoreRows(std::uint64_t version) {
@@ -224,97 +231,97 @@
   return answer;
 }
 
-// Guards against: a store that takes longer for each answer than a host waits
-// is never heard.
+// Guards against a store whose answers are never used because each takes longer
+// than a host waits.
 TEST(TableSourceTest, TakesTheAnswerOfASlowStoreAfterTheFailure) {
   SourceRig rig;
-  rig.LetItGetOld(5);
-  ASSERT_EQ(rig.store_asked, 1);
-  const TimeUs asked_at = rig.now;
-  while (rig.got.empty()) {
+  rig.LetTableAge(5);
+  ASSERT_EQ(rig.store_request_count, 1);
+  const TimeUs sent_at = rig.now;
+  while (rig.answers.empty()) {
     rig.now += rig.plan.store_timeout;
     rig.source.OnTick(rig.now);
-    rig.source.OnPeerLost(rig.now, rig.asked.back());
+    rig.source.OnPeerLost(rig.now, rig.asked_peers.back());
   }
-  EXPECT_EQ(rig.got.back().kind, TableAnswer::Kind::kFailed);
-  EXPECT_EQ(rig.source.store_failed_at(), asked_at);
-  rig.StoreAnswers(StoreRows(7));
-  EXPECT_EQ(rig.got.back().kind, TableAnswer::Kind::kRows);
-  EXPECT_EQ(rig.got.back().version, 7U);
+  EXPECT_EQ(rig.answers.back().kind, TableAnswer::Kind::kFailed);
+  EXPECT_EQ(rig.source.store_failed_at(), sent_at);
+  rig.AnswerFromStore(StoreRows(7));
+  EXPECT_EQ(rig.answers.back().kind, TableAnswer::Kind::kRows);
+  EXPECT_EQ(rig.answers.back().version, 7U);
   EXPECT_TRUE(rig.log.Saw("table_late"));
-  // Nothing that comes after it is an answer to the same question.
-  const std::size_t before = rig.got.size();
-  rig.StoreAnswers(StoreRows(8));
-  EXPECT_EQ(rig.got.size(), before);
+  // A later answer is not an answer to the same request.
+  const std::size_t before = rig.answers.size();
+  rig.AnswerFromStore(StoreRows(8));
+  EXPECT_EQ(rig.answers.size(), before);
 }
 
-// A relay that started a moment ago: the store is asked for the changes, and
-// for the whole table only when it fails too.
-TEST(TableSourceTest, AsksTheStoreForChangesThatARelayDoesNotKnow) {
+// For changes from before the start of a relay, the store is asked, and the
+// complete table is read only if the store fails too.
+TEST(TableSourceTest, AsksTheStoreForChangesThatARelayDoesNotHave) {
   SourceRig rig;
-  rig.Learn(5);
-  TableAnswer gone;
-  gone.kind = TableAnswer::Kind::kHistoryGone;
+  rig.ReceiveTable(5);
+  TableAnswer history_gone;
+  history_gone.kind = TableAnswer::Kind::kHistoryGone;
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
-  rig.Reply(gone);
-  EXPECT_TRUE(rig.got.empty());
-  ASSERT_EQ(rig.store_asked, 1);
-  EXPECT_FALSE(rig.store_questions.back().query.whole);
-  EXPECT_EQ(rig.store_questions.back().query.after, 5U);
-  EXPECT_EQ(rig.store_questions.back().query.wait, 0);
-  rig.StoreAnswers({});
-  ASSERT_EQ(rig.got.size(), 1U);
-  EXPECT_EQ(rig.got[0].kind, TableAnswer::Kind::kFailed);
+  rig.Reply(history_gone);
+  EXPECT_TRUE(rig.answers.empty());
+  ASSERT_EQ(rig.store_request_count, 1);
+  EXPECT_FALSE(rig.store_requests.back().query.whole);
+  EXPECT_EQ(rig.store_requests.back().query.after, 5U);
+  EXPECT_EQ(rig.store_requests.back().query.wait, 0);
+  rig.AnswerFromStore({});
+  ASSERT_EQ(rig.answers.size(), 1U);
+  EXPECT_EQ(rig.answers[0].kind, TableAnswer::Kind::kFailed);
   rig.source.ReadChanges(rig.now, "t", 5, 0);
-  rig.Reply(gone);
-  ASSERT_EQ(rig.got.size(), 2U);
-  EXPECT_EQ(rig.got[1].kind, TableAnswer::Kind::kHistoryGone);
+  rig.Reply(history_gone);
+  ASSERT_EQ(rig.answers.size(), 2U);
+  EXPECT_EQ(rig.answers[1].kind, TableAnswer::Kind::kHistoryGone);
 }
 
-// The failure of a question whose place a newer one took tells nothing.
-TEST(TableSourceTest, AReplacedQuestionThatFailsIsNoFailure) {
+// The failure of a request that a newer one replaced is not reported.
+TEST(TableSourceTest, AReplacedRequestThatFailsIsNoFailure) {
   SourceRig rig;
-  rig.Learn(5);
+  rig.ReceiveTable(5);
   for (const char* it : {"a", "b", "c"}) {
     GatewayBeat beat;
     beat.leaving = true;
     rig.peers.OnBeat(rig.now, it, 1, beat);
   }
-  rig.source.ReadChanges(rig.now, "t", 5, 2 * kStale);
-  ASSERT_EQ(rig.store_asked, 1);
-  rig.now += kStale;
+  rig.source.ReadChanges(rig.now, "t", 5, 2 * kMaxTableAge);
+  ASSERT_EQ(rig.store_request_count, 1);
+  rig.now += kMaxTableAge;
   rig.source.OnTick(rig.now);
-  ASSERT_EQ(rig.store_asked, 2);
-  EXPECT_EQ(rig.store_questions.back().query.wait, 0);
-  rig.source.OnStoreAnswer(rig.now, rig.store_questions.front().id, {});
-  EXPECT_TRUE(rig.got.empty());
+  ASSERT_EQ(rig.store_request_count, 2);
+  EXPECT_EQ(rig.store_requests.back().query.wait, 0);
+  rig.source.OnStoreAnswer(rig.now, rig.store_requests.front().id, {});
+  EXPECT_TRUE(rig.answers.empty());
   EXPECT_LT(rig.source.store_failed_at(), 0);
-  rig.StoreAnswers(StoreRows(6));
-  ASSERT_EQ(rig.got.size(), 1U);
-  EXPECT_EQ(rig.got[0].version, 6U);
+  rig.AnswerFromStore(StoreRows(6));
+  ASSERT_EQ(rig.answers.size(), 1U);
+  EXPECT_EQ(rig.answers[0].version, 6U);
 }
 
-// All relays fail: the store itself is asked, and then not more than every few
-// seconds while it does not answer either.
+// If all relays fail, the store itself is asked, and only every few seconds
+// while it does not answer either.
 TEST(TableSourceTest, AsksTheStoreWhenRelaysFail) {
   SourceRig rig;
-  rig.Learn(5);
+  rig.ReceiveTable(5);
   for (int n = 0; n < 100; ++n) {
     rig.source.ReadChanges(rig.now, "t", 5, kSecond);
-    while (rig.got.empty()) {
-      const std::size_t before = rig.asked.size();
-      if (rig.store_asked > 0 && before == rig.asked.size()) {
-        rig.StoreAnswers({});
+    while (rig.answers.empty()) {
+      const std::size_t before = rig.asked_peers.size();
+      if (rig.store_request_count > 0 && before == rig.asked_peers.size()) {
+        rig.AnswerFromStore({});
       }
-      if (rig.got.empty()) {
-        rig.source.OnPeerLost(rig.now, rig.asked.back());
+      if (rig.answers.empty()) {
+        rig.source.OnPeerLost(rig.now, rig.asked_peers.back());
       }
     }
-    rig.got.clear();
+    rig.answers.clear();
     rig.now += 100 * kMillisecond;
   }
-  EXPECT_GE(rig.store_asked, 2);
-  EXPECT_LE(rig.store_asked, 6);
+  EXPECT_GE(rig.store_request_count, 2);
+  EXPECT_LE(rig.store_request_count, 6);
 }
 
 }  // namespace
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -1,5 +1,5 @@
-// Who is there, leaving, suspected or dead, judged by what an entry would send
-// to whom.
+// Tests which sidecars an entry takes for ready, leaving, suspected or dead
+// under loss, partitions and failures.
 #include "coordination/membership/membership.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 namespace acaciachute {
 namespace {
 
-// Entries and sidecars in virtual time. A sidecar answers every question.
+// Entries and sidecars in virtual time. A sidecar answers every probe.
 class MemberNet {
  public:
   static constexpr DurationUs kOneWay = 5 * kMillisecond;
@@ -25,7 +25,7 @@
       sidecars_[targets.back()].incarnation = n + 1;
     }
     for (int n = 0; n < entries; ++n) {
-      auto entry = std::make_unique<EntryPort>(this, StrCat("e", n));
+      auto entry = std::make_unique<EntryDriver>(this, StrCat("e", n));
       entry->membership.SetTargets(now, targets);
       entries_[entry->name] = std::move(entry);
     }
@@ -54,7 +54,7 @@
         task();
       }
       for (auto& [unused, entry] : entries_) {
-        if (!entry->paused && now >= entry->next_tick) {
+        if (!entry->suspended && now >= entry->next_tick) {
           entry->next_tick = now + Membership::kTick;
           entry->membership.OnTick(now);
         }
@@ -65,14 +65,14 @@
     }
   }
 
-  void Pause(const NodeId& entry, bool paused) {
-    EntryPort& port = *entries_.at(entry);
-    port.paused = paused;
-    const auto held = std::move(port.held);
-    port.held.clear();
-    // Timers that are due may well run before the sockets are read.
-    port.membership.OnTick(now);
-    for (const auto& it : held) {
+  void SetSuspended(const NodeId& entry, bool suspended) {
+    EntryDriver& driver = *entries_.at(entry);
+    driver.suspended = suspended;
+    const auto queued_tasks = std::move(driver.queued_tasks);
+    driver.queued_tasks.clear();
+    // Timers that are due may run before the sockets are read.
+    driver.membership.OnTick(now);
+    for (const auto& it : queued_tasks) {
       it();
     }
   }
@@ -88,19 +88,19 @@
 
   TimeUs now = kSecond;
   std::uint32_t lost_percent = 0;
-  std::set<std::pair<NodeId, NodeId>> cuts;
-  std::uint64_t questions = 0;
+  std::set<std::pair<NodeId, NodeId>> blocked_links;
+  std::uint64_t probes = 0;
   std::function<void()> on_step;
 
  private:
-  struct EntryPort : MembershipOutput {
-    EntryPort(MemberNet* net, NodeId name)
+  struct EntryDriver : MembershipOutput {
+    EntryDriver(MemberNet* net, NodeId name)
         : net(net),
           name(std::move(name)),
           random(net->random_.Next()),
           membership(this, &random, &metrics) {}
     void AskSidecar(const NodeId& sidecar, std::uint64_t sequence) override {
-      ++net->questions;
+      ++net->probes;
       net->Send(name, sidecar, [this, sidecar, sequence] {
         const Sidecar& it = net->sidecars_.at(sidecar);
         if (!it.alive) {
@@ -121,7 +121,7 @@
     }
     void SendToEntry(const NodeId& entry, const Message& message) override {
       net->Send(name, entry, [this, entry, message] {
-        EntryPort& to = *net->entries_.at(entry);
+        EntryDriver& to = *net->entries_.at(entry);
         to.AtEntry([this, &to, message] {
           if (const auto* query = std::get_if<ReachQuery>(&message)) {
             to.membership.OnReachQuery(net->now, name, *query);
@@ -135,8 +135,8 @@
     void OnMemberState(const NodeId& sidecar, NodeState state) override {}
     void OnMemberLost(const NodeId& sidecar) override { ++lost; }
     void AtEntry(std::function<void()> task) {
-      if (paused) {
-        held.push_back(std::move(task));
+      if (suspended) {
+        queued_tasks.push_back(std::move(task));
       } else {
         task();
       }
@@ -147,30 +147,32 @@
     Random random;
     Metrics metrics;
     Membership membership;
-    bool paused = false;
+    bool suspended = false;
     TimeUs next_tick = 0;
     int lost = 0;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> queued_tasks;
   };
 
   void Send(const NodeId& from, const NodeId& to, std::function<void()> task) {
-    if (random_.Below(100) >= lost_percent && !cuts.contains({from, to})) {
+    if (random_.Below(100) >= lost_percent &&
+        !blocked_links.contains({from, to})) {
       tasks_.emplace(now + kOneWay, std::move(task));
     }
   }
 
   Random random_;
   std::map<NodeId, Sidecar, std::less<>> sidecars_;
-  std::map<NodeId, std::unique_ptr<EntryPort>, std::less<>> entries_;
+  std::map<NodeId, std::unique_ptr<EntryDriver>, std::less<>> entries_;
   std::multimap<TimeUs, std::function<void()>> tasks_;
 };
 
-// The stated bound on new work for a host that went silent.
-constexpr DurationUs kSilentBound = 2300 * kMillisecond;
+// Bound on the time for which a sidecar that does not answer may still get new
+// work.
+constexpr DurationUs kNewWorkBound = 2300 * kMillisecond;
 
 // A fifth of all datagrams is lost for ten minutes. Every sidecar is healthy,
-// and none is shunned by anybody.
-TEST(MembershipTest, LossCondemnsNobody) {
+// and no entry suspects any.
+TEST(MembershipTest, PacketLossSuspectsNoSidecar) {
   MemberNet net(2, 20, 1);
   net.lost_percent = 20;
   net.Run(5 * kSecond);
@@ -187,14 +189,15 @@
   EXPECT_EQ(shunned, 0);
 }
 
-// Datagrams from one sidecar to one entry are lost, all others arrive. That
-// entry sends it nothing new, but hears through others that it lives: it is
-// never dead and its attempts go on. The other entry goes on using it.
-TEST(MembershipTest, OneWayCutIsNoDeath) {
+// Datagrams from one sidecar to one entry are lost; all others arrive. That
+// entry sends the sidecar no new work, but learns from other entries that it is
+// alive: the sidecar is never dead and its attempts continue. The other entry
+// continues to use it.
+TEST(MembershipTest, AOneWayPartitionIsNotTakenForDeath) {
   MemberNet net(3, 4, 2);
   net.Run(5 * kSecond);
-  net.cuts = {{"s1", "e0"}};
-  net.Run(kSilentBound);
+  net.blocked_links = {{"s1", "e0"}};
+  net.Run(kNewWorkBound);
   net.on_step = [&] {
     EXPECT_EQ(net.StateAt("e0", "s1"), NodeState::kSuspect);
     EXPECT_EQ(net.StateAt("e1", "s1"), NodeState::kReady);
@@ -202,17 +205,17 @@
   net.Run(60 * kSecond);
   EXPECT_EQ(net.lost("e0"), 0);
   net.on_step = nullptr;
-  net.cuts.clear();
+  net.blocked_links.clear();
   net.Run(2 * kSecond);
   EXPECT_EQ(net.StateAt("e0", "s1"), NodeState::kReady);
 }
 
-TEST(MembershipTest, DeadGetsNothingNewAfterTheBound) {
+TEST(MembershipTest, ADeadSidecarGetsNoNewWorkAfterTheBound) {
   MemberNet net(2, 30, 3);
   net.lost_percent = 20;
   net.Run(5 * kSecond);
   net.sidecar("s7").alive = false;
-  net.Run(kSilentBound);
+  net.Run(kNewWorkBound);
   EXPECT_NE(net.StateAt("e0", "s7"), NodeState::kReady);
   EXPECT_NE(net.StateAt("e1", "s7"), NodeState::kReady);
   net.Run(Membership::kDeadTimeout + kSecond);
@@ -220,15 +223,16 @@
   EXPECT_EQ(net.lost("e0"), 1);
 }
 
-// A whole failure domain goes at once: half of the sidecars. Nobody hears them,
-// so all of them are dead after the bound, and none of the others is touched.
+// A failure domain with half of the sidecars fails at once. No entry reaches
+// them, so all of them are dead after the bound, and the others are not
+// affected.
 TEST(MembershipTest, FailureDomainGone) {
   MemberNet net(2, 20, 4);
   net.Run(5 * kSecond);
   for (int n = 0; n < 10; ++n) {
     net.sidecar(StrCat("s", n)).alive = false;
   }
-  net.Run(kSilentBound + Membership::kDeadTimeout + kSecond);
+  net.Run(kNewWorkBound + Membership::kDeadTimeout + kSecond);
   for (int n = 0; n < 20; ++n) {
     EXPECT_EQ(net.StateAt("e1", StrCat("s", n)),
               n < 10 ? NodeState::kDead : NodeState::kReady)
@@ -236,15 +240,15 @@
   }
 }
 
-// The entry itself sleeps for a minute. Its clock says that everybody was
-// silent all the while; their answers wait in its socket.
-TEST(MembershipTest, OwnPauseCondemnsNobody) {
+// The entry itself is suspended for a minute. By its clock all sidecars were
+// silent for as long, while their answers wait in its socket.
+TEST(MembershipTest, OwnSuspensionSuspectsNoSidecar) {
   for (int offset = 0; offset < 30; ++offset) {
     MemberNet net(2, 5, 5);
     net.Run(5 * kSecond + offset * 7 * kMillisecond);
-    net.Pause("e0", true);
+    net.SetSuspended("e0", true);
     net.Run(60 * kSecond);
-    net.Pause("e0", false);
+    net.SetSuspended("e0", false);
     net.on_step = [&] {
       for (int n = 0; n < 5; ++n) {
         EXPECT_EQ(net.StateAt("e0", StrCat("s", n)), NodeState::kReady);
@@ -255,8 +259,8 @@
   }
 }
 
-// A successor starts under the same name. Attempts at the predecessor are
-// given up, once, and the successor is used.
+// A new process starts under the same name. The attempts at its predecessor are
+// given up, once, and the new process gets work.
 TEST(MembershipTest, NewIncarnationEndsTheOldOnesAttempts) {
   MemberNet net(1, 2, 6);
   net.Run(kSecond);
@@ -266,7 +270,7 @@
   EXPECT_EQ(net.StateAt("e0", "s0"), NodeState::kReady);
 }
 
-TEST(MembershipTest, LeavingIsHeardWithinAPeriod) {
+TEST(MembershipTest, LeavingIsDetectedWithinAPeriod) {
   MemberNet net(1, 30, 7);
   net.Run(5 * kSecond);
   net.sidecar("s3").state = NodeState::kLeaving;
@@ -275,9 +279,9 @@
   EXPECT_EQ(net.StateAt("e0", "s3"), NodeState::kLeaving);
 }
 
-// Only the lagging list tells that a host leaves: it is believed about a
-// process that is older than the list's lag. About a younger one it may be
-// speaking of the predecessor, and it never brings a silent host back.
+// Only the host list, which lags, says that a host leaves. The hint is used for
+// a process that is older than the list's lag; for a younger one it may refer
+// to its predecessor. It never revives a dead host.
 TEST(MembershipTest, HostListIsOnlyAHint) {
   MemberNet net(1, 2, 8);
   net.Run(5 * kSecond);
@@ -296,19 +300,20 @@
   EXPECT_EQ(net.StateAt("e0", "s1"), NodeState::kDead);
 }
 
-// At the target an entry watches a subset of 24; with a fifth of the datagrams
-// lost it still stays within its share of the 10 KB/s.
-TEST(MembershipTest, QuestionsStayWithinTheBudget) {
+// In a full deployment an entry watches a subset of 24 sidecars; with a fifth
+// of the datagrams lost its probes still stay within their share of the 10
+// KB/s.
+TEST(MembershipTest, ProbesStayWithinTheBudget) {
   MemberNet net(1, 24, 9);
   net.Run(10 * kSecond);
-  net.questions = 0;
+  net.probes = 0;
   net.Run(60 * kSecond);
-  const auto bytes = net.questions * Membership::kProbeBytes / 60;
+  const auto bytes = net.probes * Membership::kProbeBytes / 60;
   EXPECT_LT(bytes, 5600U);
   net.lost_percent = 20;
-  net.questions = 0;
+  net.probes = 0;
   net.Run(60 * kSecond);
-  EXPECT_LT(net.questions * Membership::kProbeBytes / 60, 9000U);
+  EXPECT_LT(net.probes * Membership::kProbeBytes / 60, 9000U);
 }
 
 }  // namespace
