--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -92,9 +92,9 @@
   // killed process refuses connections long before its missing heartbeats are
   // noticed, and trying to connect in a loop would use up this process's time.
   void OnUnreachable(TimeUs now, const NodeId& node);
-  // All gateways that may send work as far as is known here, sorted, including
-  // this one: those heard from within `kKnownPeerDuration`, whatever their
-  // state since then, and those that were listed recently.
+  // All gateways that may send work, sorted and including this one: those with
+  // a heartbeat within `kKnownPeerDuration`, whatever their state since then,
+  // and those that were listed recently.
   std::vector<NodeId> Known(TimeUs now) const;
   // Call it before each `TakeLost`, every 30 ms.
   //
@@ -133,7 +133,8 @@
   const RelayPlan& relay_plan() const;
   // A random gateway that is alive and not leaving; empty if there is none.
   NodeId AnyLive(Random* random) const;
-  // Whether another live gateway may check keys, as it last reported.
+  // Whether another live gateway may check keys, according to its last
+  // heartbeat.
   bool AnotherIsCurrent() const;
 
  private:
@@ -174,7 +175,8 @@
   // Cache of `OwnerOf` by service, valid until a gateway joins or leaves: each
   // request looks up a dozen owners.
   mutable std::map<std::string, NodeId> owners_;
-  // Cache, valid as long: it is read several times a second.
+  // Cache of `relay_plan`, valid until a gateway joins or leaves: it is read
+  // several times a second.
   mutable std::optional<RelayPlan> relay_plan_;
 };
 
--- a/src/coordination/membership/membership.cc
+++ b/src/coordination/membership/membership.cc
@@ -8,7 +8,7 @@
 
 // Time for which an answer to another entry's request is still useful.
 constexpr DurationUs kHelpRequestTimeout = kSecond;
-// A sidecar heard from within this time is not probed for another entry.
+// A sidecar that answered within this time is not probed for another entry.
 constexpr DurationUs kRecentContactMaxAge = kSecond;
 
 }  // namespace
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -123,8 +123,8 @@
     // By sequence number: when the probe was sent.
     std::map<std::uint64_t, TimeUs> pending_probes;
   };
-  // A request of another entry about a sidecar that was not heard from
-  // recently.
+  // A request of another entry to probe a sidecar from here. The sidecar has
+  // not answered this entry recently either.
   struct HelpRequest {
     NodeId entry;
     NodeId sidecar;
--- a/src/coordination/stages/piece_desk.h
+++ b/src/coordination/stages/piece_desk.h
@@ -14,7 +14,8 @@
 class PieceDesk {
  public:
   virtual ~PieceDesk() = default;
-  // One result follows for each piece, unless its request is dropped.
+  // Submits pieces. Exactly one result is delivered per piece, unless `Drop`
+  // cancels its request first.
   virtual void Submit(TimeUs now, std::vector<PieceOrder> orders) = 0;
   // Cancels the request's pieces. Must be called when a request that submitted
   // pieces ends.
--- a/src/coordination/stages/shared_piece_desk.h
+++ b/src/coordination/stages/shared_piece_desk.h
@@ -52,8 +52,8 @@
   // Whether one of the services that produced these results uses more than
   // `kMemoryShortageShare` of its memory for results.
   bool ShortOfMemory(const std::vector<std::string>& handles) const;
-  // Share of the result memory in use from which memory counts as short. Below
-  // it each replica can take as many results again as it holds.
+  // Share of the result memory in use above which memory counts as short. Up to
+  // it, each replica has free memory for as many results again as it holds.
   static constexpr double kMemoryShortageShare = 0.5;
 
   // Result of a piece that this gateway's batchers ran or failed to run.
@@ -62,9 +62,9 @@
   void OnPeerDrop(const PieceDrop& drop);
   void OnPeerFree(const PieceFree& free);
   void OnPeerResults(const PieceResults& results);
-  // Queue waits as reported by the batching gateways, and those of the services
-  // that this gateway batches.
+  // Queue waits that the batching gateways reported.
   void OnPeerWaits(const std::vector<ServiceWait>& waits);
+  // Queue waits of the services that this gateway batches.
   std::vector<ServiceWait> OwnWaits(TimeUs now) const;
   // Whether this gateway batches any service.
   bool Batches() const;
@@ -77,6 +77,7 @@
   bool ServesNobody() const { return requesters_.empty(); }
 
  private:
+  // A piece of a request of this gateway that has no result yet.
   struct Pending {
     PieceOrder order;
     NodeId owner;
--- a/src/coordination/tables/remote_clock.h
+++ b/src/coordination/tables/remote_clock.h
@@ -1,12 +1,12 @@
 // Maps times of another process's steady clock to the clock of this host.
 //
-// A request sent at local time S and answered with the remote time T shows that
-// the remote clock read T after S. So S - T is a lower bound of the offset
-// between the clocks, and the largest bound is the most precise one: that of an
-// answer which came at once. With it, an answer that the other process held for
-// a while shows when it was given, and not just when it was requested. Steady
-// clocks drift apart by at most `kMaxDrift`; a bound loses precision at that
-// rate.
+// A request is sent at local time S and answered with the remote time T. The
+// remote clock read T after the local time S, so S - T is a lower bound of the
+// offset between the clocks, and the largest bound is the most precise one:
+// that of an answer which came at once. With it, an answer that the other
+// process held for a while shows when it was given, and not just when it was
+// requested. Steady clocks drift apart by at most `kMaxDrift`; a bound loses
+// precision at that rate.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_REMOTE_CLOCK_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_REMOTE_CLOCK_H_
 
--- a/src/coordination/tables/table_relay.h
+++ b/src/coordination/tables/table_relay.h
@@ -71,7 +71,8 @@
   };
 
   bool HasChanges(const TableQuestion& request) const;
-  // Whether the data here suffice for an answer, with or without changes.
+  // Whether this gateway's copy suffices for an answer, with or without
+  // changes.
   bool CanAnswer(const TableQuestion& request) const;
   bool ShouldAnswerNow(const HeldRequest& held) const;
   void Reply(const HeldRequest& held, TableAnswer answer);
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -416,7 +416,7 @@
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 1U);
   rig.Advance(150 * kMs);
-  EXPECT_TRUE(rig.read.empty()) << "one piece has not begun";
+  EXPECT_TRUE(rig.read.empty()) << "one piece has not started";
 
   rig.CompleteCall(rig.calls[0]);
   ASSERT_EQ(rig.calls.size(), 2U);
@@ -470,7 +470,8 @@
   rig.Advance(150 * kMs);
   ASSERT_EQ(rig.read.size(), 1U);
   rig.Advance(kSecond);
-  EXPECT_EQ(rig.calls.size(), 1U) << "no copy without inputs";
+  EXPECT_EQ(rig.calls.size(), 1U)
+      << "a piece without inputs must not be sent again";
 
   rig.batcher.OnCallEnd(rig.now, rig.calls[0].id,
                         {PieceCallEnd::Kind::kBroken, "reset", {}});
@@ -579,7 +580,8 @@
   ASSERT_EQ(rig.calls.size(), 2U);
   rig.CompleteCall(PieceCall(rig.calls[1]));
   rig.Advance(100 * kMs);
-  EXPECT_EQ(rig.calls.size(), 2U) << "the large one has no room beside itself";
+  EXPECT_EQ(rig.calls.size(), 2U)
+      << "no memory for the large piece beside its lost result";
   rig.Advance(4 * kSecond);
   ASSERT_EQ(rig.calls.size(), 3U);
   EXPECT_EQ(rig.calls[2].pieces[0].key.request, "large");
