--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -54,11 +54,11 @@
   // taken for dead once in a million heartbeats. The limit is longer for
   // gateways with a longer period.
   static constexpr DurationUs kPeerTimeout = 650 * kMillisecond;
-  // Time without a heartbeat, two of them missed, after which the gateway is
-  // probed for one, three times until it counts as dead. This corresponds to
-  // the direct probe of SWIM (Das, Gupta and Motivala 2002). Other gateways are
-  // not asked whether they reach it, because their answer would not transfer
-  // pieces to it.
+  // Time without a heartbeat, two of them being missed, after which a gateway
+  // is probed. Probes are repeated every `kProbeInterval`, three in all, until
+  // the gateway counts as dead. This corresponds to the direct probe of SWIM
+  // (Das, Gupta and Motivala 2002). Other gateways are not asked whether they
+  // reach it, because their answer would not transfer pieces to it.
   static constexpr DurationUs kProbeDelay = 400 * kMillisecond;
   static constexpr DurationUs kProbeInterval = (kPeerTimeout - kProbeDelay) / 3;
   // Time for which heartbeats of a gateway are ignored after a connection to it
@@ -96,7 +96,7 @@
   // a heartbeat within `kKnownPeerDuration`, whatever their state since then,
   // and those that were listed recently.
   std::vector<NodeId> Known(TimeUs now) const;
-  // Call it before each `TakeLost`, every 30 ms.
+  // Must be called before each `TakeLost`, every 30 ms.
   //
   // If this process was suspended, all other gateways seem to have been silent
   // until their next heartbeats, and their work would be repeated. So the time
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -76,9 +76,9 @@
   return peers_->relay_plan().relays.empty() || peers_->relay_plan().is_relay;
 }
 
-// A relay asks the store, and while the store fails also another gateway. A
-// follower asks a relay, and while relays fail also the store. Later pages of a
-// table are always read from the store: relays send their tables in one
+// A relay asks the store and, while the store fails, also another gateway. A
+// follower asks a relay and, while relays fail, also the store. Later pages of
+// a table are always read from the store: relays send their tables in one
 // message.
 void TableSource::Begin(TimeUs now, TableQuery query) {
   read_ = {State::kOpen, std::move(query), now};
