--- a/src/coordination/membership/gateway_peers.cc
+++ b/src/coordination/membership/gateway_peers.cc
@@ -22,38 +22,39 @@
   }
 }
 
-bool GatewayPeers::OnBeat(TimeUs now,
-                          const NodeId& node,
-                          Incarnation incarnation,
-                          const GatewayBeat& beat) {
+bool GatewayPeers::OnGatewayHeartbeat(TimeUs now,
+                                      const NodeId& node,
+                                      Incarnation incarnation,
+                                      const GatewayHeartbeat& heartbeat) {
   Peer& peer = peers_[node];
   known_until_[node] = now + kKnownPeerDuration;
   if (now < peer.unreachable_until) {
     return false;
   }
-  const bool changed = !peer.live || peer.leaving != beat.leaving ||
+  const bool changed = !peer.live || peer.leaving != heartbeat.leaving ||
                        peer.incarnation != incarnation;
   if (peer.live && peer.incarnation != incarnation) {
     peer.restarted = true;
   }
-  if (beat.asks || peer.incarnation != incarnation) {
+  if (heartbeat.requests_reply || peer.incarnation != incarnation) {
     // The peer waits for a heartbeat of this gateway, or has received none yet.
     peer.promised_interval = 0;
   }
   peer.incarnation = incarnation;
   peer.last_heartbeat_at = now;
   peer.live = true;
-  peer.leaving = beat.leaving;
-  peer.can_check_keys = beat.current;
-  peer.period = std::max(beat.period, kBeat);
-  if (changed || peer.cores != beat.cores || peer.domain != beat.domain) {
+  peer.leaving = heartbeat.leaving;
+  peer.can_check_keys = heartbeat.can_check_keys;
+  peer.period = std::max(heartbeat.period, kGatewayHeartbeatPeriod);
+  if (changed || peer.cores != heartbeat.cores ||
+      peer.domain != heartbeat.domain) {
     DiscardDerivedState();
   }
-  peer.cores = beat.cores;
-  peer.domain = beat.domain;
+  peer.cores = heartbeat.cores;
+  peer.domain = heartbeat.domain;
   if (changed) {
-    log_->Write("peer",
-                {{"peer", node}, {"state", beat.leaving ? "leaving" : "live"}});
+    log_->Write("peer", {{"peer", node},
+                         {"state", heartbeat.leaving ? "leaving" : "live"}});
   }
   return changed;
 }
@@ -83,7 +84,7 @@
 }
 
 void GatewayPeers::OnTick(TimeUs now) {
-  const DurationUs suspended_for = own_pause_.CheckSuspension(now);
+  const DurationUs suspended_for = suspension_detector_.CheckSuspension(now);
   if (suspended_for == 0) {
     return;
   }
@@ -124,16 +125,18 @@
 DurationUs GatewayPeers::Period(bool batches) const {
   const std::size_t peers = Live() - 1;
   if (batches || leaving_ || peers <= kMaxPeersAtFullRate) {
-    return kBeat;
+    return kGatewayHeartbeatPeriod;
   }
-  return kBeat * static_cast<DurationUs>(peers) /
+  return kGatewayHeartbeatPeriod * static_cast<DurationUs>(peers) /
          static_cast<DurationUs>(kMaxPeersAtFullRate);
 }
 
-std::vector<DueBeat> GatewayPeers::DueBeats(TimeUs now, DurationUs period) {
-  std::vector<DueBeat> due;
+std::vector<DueHeartbeat> GatewayPeers::DueHeartbeats(TimeUs now,
+                                                      DurationUs period) {
+  std::vector<DueHeartbeat> due;
   for (auto& [node, peer] : peers_) {
-    const DurationUs wait = peer.live ? period : std::max(period, kSilentBeat);
+    const DurationUs wait =
+        peer.live ? period : std::max(period, kSilentPeerHeartbeatPeriod);
     if (now - peer.heartbeat_sent_at >=
         std::min(wait, peer.promised_interval)) {
       peer.heartbeat_sent_at = now;
@@ -144,8 +147,8 @@
   return due;
 }
 
-std::vector<DueBeat> GatewayPeers::DueQuestions(TimeUs now) {
-  std::vector<DueBeat> due;
+std::vector<DueHeartbeat> GatewayPeers::DueProbes(TimeUs now) {
+  std::vector<DueHeartbeat> due;
   for (auto& [node, peer] : peers_) {
     if (peer.live &&
         now - peer.last_heartbeat_at > ScaleToPeriod(peer, kProbeDelay) &&
@@ -239,7 +242,7 @@
   return 1 + static_cast<std::size_t>(count);
 }
 
-bool GatewayPeers::AnotherIsCurrent() const {
+bool GatewayPeers::AnyPeerCanCheckKeys() const {
   return std::any_of(peers_.begin(), peers_.end(), [](const auto& it) {
     return it.second.live && !it.second.leaving && it.second.can_check_keys;
   });
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "coordination/membership/own_pause.h"
+#include "coordination/membership/suspension_detector.h"
 #include "coordination/tables/relay_plan.h"
 #include "messages.h"
 #include "state/event_log.h"
@@ -32,7 +32,7 @@
 
 // A heartbeat that is due to `node`, which may rely on receiving the next one
 // within `promise`.
-struct DueBeat {
+struct DueHeartbeat {
   NodeId node;
   DurationUs promise = 0;
 };
@@ -41,7 +41,7 @@
  public:
   // Period of heartbeats between gateways. A heartbeat is smaller than 1 KB;
   // with five gateways that is 20 KB/s per host.
-  static constexpr DurationUs kBeat = 150 * kMillisecond;
+  static constexpr DurationUs kGatewayHeartbeatPeriod = 150 * kMillisecond;
   // Number of peers up to which all gateways send a heartbeat every
   // `kGatewayHeartbeatPeriod`. Each gateway sends heartbeats to all others, so
   // the number that a host receives grows with the number of gateways; with 29
@@ -69,7 +69,7 @@
   static constexpr DurationUs kMaxTickInterval = 200 * kMillisecond;
   // Smallest heartbeat period towards gateways that do not answer: they may
   // return from a network partition.
-  static constexpr DurationUs kSilentBeat = kSecond;
+  static constexpr DurationUs kSilentPeerHeartbeatPeriod = kSecond;
   // Time without a heartbeat after which a gateway is removed from the list. If
   // it is alive, it is read from the store again.
   static constexpr DurationUs kPeerRemovalTimeout = 60 * kSecond;
@@ -83,10 +83,10 @@
   // Adds a gateway that the store lists.
   void OnListed(TimeUs now, const NodeId& node);
   // Returns whether the state of the gateway changed.
-  bool OnBeat(TimeUs now,
-              const NodeId& node,
-              Incarnation incarnation,
-              const GatewayBeat& beat);
+  bool OnGatewayHeartbeat(TimeUs now,
+                          const NodeId& node,
+                          Incarnation incarnation,
+                          const GatewayHeartbeat& heartbeat);
   // Records that no connection to `node` could be made. The gateway counts as
   // dead at once, until a heartbeat arrives `kUnreachableDuration` later: a
   // killed process refuses connections long before its missing heartbeats are
@@ -118,9 +118,9 @@
   // gateways for dead over and over and process the pieces themselves, which in
   // turn makes them batching gateways. Each promise is made to one gateway and
   // is kept, so missing heartbeats mean a loss.
-  std::vector<DueBeat> DueBeats(TimeUs now, DurationUs period);
+  std::vector<DueHeartbeat> DueHeartbeats(TimeUs now, DurationUs period);
   // Returns the gateways that must be probed now.
-  std::vector<DueBeat> DueQuestions(TimeUs now);
+  std::vector<DueHeartbeat> DueProbes(TimeUs now);
   // Announces to all gateways, at once, that this one leaves.
   void SetLeaving();
 
@@ -135,7 +135,7 @@
   NodeId AnyLive(Random* random) const;
   // Whether another live gateway may check keys, according to its last
   // heartbeat.
-  bool AnotherIsCurrent() const;
+  bool AnyPeerCanCheckKeys() const;
 
  private:
   struct Peer {
@@ -150,7 +150,7 @@
     TimeUs unreachable_until = 0;
     double cores = 1;
     std::string domain;
-    DurationUs period = kBeat;
+    DurationUs period = kGatewayHeartbeatPeriod;
     bool live = false;
     bool leaving = false;
     bool can_check_keys = false;
@@ -160,7 +160,7 @@
   // Scales a time limit that is given for the period `kGatewayHeartbeatPeriod`
   // to the period of the peer.
   static DurationUs ScaleToPeriod(const Peer& peer, DurationUs limit) {
-    return limit * peer.period / kBeat;
+    return limit * peer.period / kGatewayHeartbeatPeriod;
   }
   // Discards what was derived from the set of live gateways.
   void DiscardDerivedState();
@@ -168,7 +168,7 @@
   const GatewayHost self_;
   EventLog* const log_;
   bool leaving_ = false;
-  OwnPause own_pause_{kMaxTickInterval};
+  SuspensionDetector suspension_detector_{kMaxTickInterval};
   std::map<NodeId, Peer> peers_;
   // Until when each gateway counts as one that may send work.
   absl::flat_hash_map<NodeId, TimeUs> known_until_;
--- a/src/coordination/membership/membership.cc
+++ b/src/coordination/membership/membership.cc
@@ -41,7 +41,7 @@
   // While this process was suspended, answers waited in its socket, and on
   // resuming all sidecars seem to have been silent for as long. The silence is
   // counted from now, so the answers are read before any sidecar is suspected.
-  const bool was_suspended = own_pause_.CheckSuspension(now) > 0;
+  const bool was_suspended = suspension_detector_.CheckSuspension(now) > 0;
   for (auto& [sidecar, member] : members_) {
     if (was_suspended && member.unanswered_since >= 0) {
       member.unanswered_since = now;
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -27,7 +27,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/membership/own_pause.h"
+#include "coordination/membership/suspension_detector.h"
 #include "messages.h"
 #include "state/metrics.h"
 #include "state/random.h"
@@ -147,7 +147,7 @@
   std::map<std::uint64_t, HelpRequest> help_requests_;
   DurationUs period_ = kMinProbePeriod;
   std::uint64_t next_sequence_ = 1;
-  OwnPause own_pause_{kMaxTickInterval};
+  SuspensionDetector suspension_detector_{kMaxTickInterval};
 };
 
 }  // namespace acaciachute
--- a/src/coordination/membership/own_pause.h
+++ b/src/coordination/membership/suspension_detector.h
@@ -1,8 +1,8 @@
 // Detects that this process was suspended.
 //
 // After a suspension, all other processes seem to have been silent for as long.
-#ifndef ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_OWN_PAUSE_H_
-#define ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_OWN_PAUSE_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_SUSPENSION_DETECTOR_H_
+#define ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_SUSPENSION_DETECTOR_H_
 
 #include <algorithm>
 #include <optional>
@@ -12,11 +12,12 @@
 
 namespace acaciachute {
 
-class OwnPause {
+class SuspensionDetector {
  public:
   // `max_interval` may pass between two checks of a process that is not
   // suspended.
-  explicit OwnPause(DurationUs max_interval) : max_interval_(max_interval) {}
+  explicit SuspensionDetector(DurationUs max_interval)
+      : max_interval_(max_interval) {}
 
   // Returns how much the time since the last check exceeded `max_interval`;
   // zero if the process was not suspended. Call it in each turn of the event
@@ -34,4 +35,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_OWN_PAUSE_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_SUSPENSION_DETECTOR_H_
--- a/src/coordination/stages/local_piece_desk.cc
+++ b/src/coordination/stages/local_piece_dispatcher.cc
@@ -1,4 +1,4 @@
-#include "coordination/stages/local_piece_desk.h"
+#include "coordination/stages/local_piece_dispatcher.h"
 
 #include <algorithm>
 #include <set>
@@ -6,14 +6,14 @@
 
 namespace acaciachute {
 
-LocalPieceDesk::LocalPieceDesk(const ReplicaDirectory* directory,
-                               PieceBatcherOutput* output,
-                               BudgetOf budget_of)
+LocalPieceDispatcher::LocalPieceDispatcher(const ReplicaDirectory* directory,
+                                           PieceBatcherOutput* output,
+                                           RetryBudgetOf budget_of)
     : directory_(directory),
       output_(output),
       budget_of_(std::move(budget_of)) {}
 
-void LocalPieceDesk::SetServices(const ServingConfig& config) {
+void LocalPieceDispatcher::SetServices(const ServingConfig& config) {
   for (const auto& [name, service] : config.services()) {
     if (!service.batching) {
       continue;
@@ -27,14 +27,14 @@
   }
 }
 
-void LocalPieceDesk::Submit(TimeUs now, std::vector<PieceOrder> orders) {
+void LocalPieceDispatcher::Submit(TimeUs now, std::vector<PieceTask> tasks) {
   std::set<PieceBatcher*> batchers_to_dispatch;
-  for (PieceOrder& order : orders) {
-    const auto it = batchers_.find(order.service);
+  for (PieceTask& task : tasks) {
+    const auto it = batchers_.find(task.service);
     if (it == batchers_.end()) {
-      output_->OnPiece({order.key, PieceOutcome::kNotMade, ""});
+      output_->OnPiece({task.key, PieceOutcome::kNotMade, ""});
     } else {
-      it->second->Add(now, std::move(order));
+      it->second->Add(now, std::move(task));
       batchers_to_dispatch.insert(it->second.get());
     }
   }
@@ -44,67 +44,70 @@
   }
 }
 
-void LocalPieceDesk::Drop(const std::string& request) {
+void LocalPieceDispatcher::Drop(const std::string& request) {
   for (auto& [name, batcher] : batchers_) {
     batcher->Drop(request);
   }
 }
 
-void LocalPieceDesk::Free(const std::vector<std::string>& handles) {
+void LocalPieceDispatcher::Free(const std::vector<std::string>& handles) {
   for (const auto& handle : handles) {
-    const ReplicaEntry* producer = directory_->MakerOf(handle);
+    const ReplicaEntry* producer = directory_->ProducerOf(handle);
     if (producer != nullptr) {
       FreeForService(producer->service, {handle});
     }
   }
 }
 
-void LocalPieceDesk::FreeForService(const std::string& service,
-                                    const std::vector<std::string>& handles) {
+void LocalPieceDispatcher::FreeForService(
+    const std::string& service,
+    const std::vector<std::string>& handles) {
   if (const auto it = batchers_.find(service); it != batchers_.end()) {
     it->second->Free(handles);
   }
 }
 
-bool LocalPieceDesk::Idle() const {
+bool LocalPieceDispatcher::Idle() const {
   return std::all_of(batchers_.begin(), batchers_.end(),
                      [](const auto& it) { return it.second->Idle(); });
 }
 
-PoolWait LocalPieceDesk::ExpectedWait(TimeUs now,
-                                      const std::string& service) const {
+QueueWait LocalPieceDispatcher::ExpectedWait(TimeUs now,
+                                             const std::string& service) const {
   const auto it = batchers_.find(service);
-  return it == batchers_.end() ? PoolWait{} : it->second->ExpectedWait(now);
+  return it == batchers_.end() ? QueueWait{} : it->second->ExpectedWait(now);
 }
 
-double LocalPieceDesk::MemoryShareInUse(const std::string& service) const {
+double LocalPieceDispatcher::MemoryShareInUse(
+    const std::string& service) const {
   const auto it = batchers_.find(service);
   return it == batchers_.end() ? 0 : it->second->MemoryShareInUse();
 }
 
-void LocalPieceDesk::OnCallEnd(TimeUs now,
-                               const std::string& service,
-                               BatchId id,
-                               const PieceCallEnd& end) {
+void LocalPieceDispatcher::OnCallEnd(TimeUs now,
+                                     const std::string& service,
+                                     BatchId id,
+                                     const PieceCallEnd& end) {
   if (const auto it = batchers_.find(service); it != batchers_.end()) {
     it->second->OnCallEnd(now, id, end);
   }
 }
 
-void LocalPieceDesk::OnReplicaGone(TimeUs now, const ReplicaEntry& replica) {
+void LocalPieceDispatcher::OnReplicaGone(TimeUs now,
+                                         const ReplicaEntry& replica) {
   if (const auto it = batchers_.find(replica.service); it != batchers_.end()) {
     it->second->OnReplicaGone(now, replica.id);
   }
 }
 
-void LocalPieceDesk::OnReplicaRestarted(TimeUs now,
-                                        const ReplicaEntry& replica) {
+void LocalPieceDispatcher::OnReplicaRestarted(TimeUs now,
+                                              const ReplicaEntry& replica) {
   if (const auto it = batchers_.find(replica.service); it != batchers_.end()) {
     it->second->OnReplicaRestarted(now, replica.id);
   }
 }
 
-void LocalPieceDesk::OnTick(TimeUs now) {
+void LocalPieceDispatcher::OnTick(TimeUs now) {
   for (auto& [name, batcher] : batchers_) {
     batcher->OnTick(now);
   }
--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -10,21 +10,21 @@
 namespace acaciachute {
 namespace {
 
-StageMakers::End EndOf(PieceCallEnd::Kind kind) {
+StageReplicas::End EndOf(PieceCallEnd::Kind kind) {
   switch (kind) {
     case PieceCallEnd::Kind::kAnswered:
-      return StageMakers::End::kAnswered;
+      return StageReplicas::End::kAnswered;
     case PieceCallEnd::Kind::kLost:
-      return StageMakers::End::kLost;
+      return StageReplicas::End::kLost;
     default:
-      return StageMakers::End::kFailed;
+      return StageReplicas::End::kFailed;
   }
 }
 
 }  // namespace
 
 PieceBatcher::PieceBatcher(const ReplicaDirectory* directory,
-                           AttemptBudget* budget,
+                           ServiceRetryBudget* budget,
                            PieceBatcherOutput* output)
     : replicas_(directory), budget_(budget), output_(output) {}
 
@@ -34,8 +34,8 @@
   limits_ = limits;
 }
 
-void PieceBatcher::Add(TimeUs now, PieceOrder order) {
-  const PieceKey key = order.key;
+void PieceBatcher::Add(TimeUs now, PieceTask task) {
+  const PieceKey key = task.key;
   const auto [it, inserted] = pieces_.try_emplace(key);
   if (!inserted) {
     // Duplicate submission, for example after a lost connection: the piece is
@@ -44,14 +44,14 @@
   }
   budget_->OnRequest(now);
   Piece& piece = it->second;
-  piece.deadline = now + order.time_left;
+  piece.deadline = now + task.time_left;
   piece.queued_at = now;
-  piece.latest_start = now + order.time_to_begin;
-  piece.demote_when_late = order.holds_bytes <= order.result_bytes;
-  piece.rank.priority = order.priority;
-  piece.rank.request_arrived_at = now - order.waited;
+  piece.latest_start = now + task.time_to_begin;
+  piece.demote_when_late = task.holds_bytes <= task.result_bytes;
+  piece.rank.priority = task.priority;
+  piece.rank.request_arrived_at = now - task.waited;
   piece.rank.key = key;
-  piece.order = std::move(order);
+  piece.task = std::move(task);
   Enqueue(now, &piece);
 }
 
@@ -86,8 +86,8 @@
 }
 
 std::uint64_t PieceBatcher::LateMemoryBytes() const {
-  return static_cast<std::uint64_t>(kLateMemoryShare *
-                                    static_cast<double>(limits_.room_bytes));
+  return static_cast<std::uint64_t>(
+      kLateMemoryShare * static_cast<double>(limits_.result_memory_bytes));
 }
 
 void PieceBatcher::Drop(const std::string& request) {
@@ -127,14 +127,14 @@
 bool PieceBatcher::MayRunInDomain(TimeUs now,
                                   const Piece& piece,
                                   const std::string& domain) {
-  if (piece.order.near_domain.empty() || piece.order.near_domain == domain ||
+  if (piece.task.near_domain.empty() || piece.task.near_domain == domain ||
       now - piece.queued_at >= NearDelay(now, piece)) {
     return true;
   }
   const auto& replicas = replicas_.All();
   return std::none_of(replicas.begin(), replicas.end(),
                       [&](const ReplicaEntry* it) {
-                        return it->domain == piece.order.near_domain &&
+                        return it->domain == piece.task.near_domain &&
                                !replicas_.InBackoff(now, it->id);
                       });
 }
@@ -155,10 +155,11 @@
 // of its request and stage, unless they would fill more than half of a
 // replica's memory.
 std::uint64_t PieceBatcher::GroupResultBytes(const Piece& piece) const {
-  const std::uint64_t piece_bytes = piece.order.result_bytes;
+  const std::uint64_t piece_bytes = piece.task.result_bytes;
   const std::uint64_t group_bytes =
-      WaitingInStage(piece.order.key) * piece_bytes;
-  return group_bytes <= limits_.room_bytes / 2 ? group_bytes : piece_bytes;
+      WaitingInStage(piece.task.key) * piece_bytes;
+  return group_bytes <= limits_.result_memory_bytes / 2 ? group_bytes
+                                                        : piece_bytes;
 }
 
 PieceBatcher::Rank PieceBatcher::LastOfGroup(const Rank& rank) {
@@ -190,9 +191,9 @@
     group.result_bytes = GroupResultBytes(piece);
     group.memory_limit = first.dispatch_class == DispatchClass::kLate
                              ? LateMemoryBytes()
-                             : limits_.room_bytes;
-    group.inputs_near = piece.order.near_domain.empty() ||
-                        piece.order.near_domain == replica.domain;
+                             : limits_.result_memory_bytes;
+    group.inputs_near = piece.task.near_domain.empty() ||
+                        piece.task.near_domain == replica.domain;
     group.pieces =
         static_cast<std::size_t>(std::count_if(it, end, [&](const Rank& rank) {
           return !pieces_.at(rank.key).tried_replicas.contains(replica.id);
@@ -215,12 +216,12 @@
   return groups;
 }
 
-std::vector<PieceOrder> PieceBatcher::TakePieces(TimeUs now,
-                                                 const ReplicaEntry& replica,
-                                                 std::size_t max_pieces) {
+std::vector<PieceTask> PieceBatcher::TakePieces(TimeUs now,
+                                                const ReplicaEntry& replica,
+                                                std::size_t max_pieces) {
   const Groups groups = EligibleGroups(now, replica);
   std::uint64_t held = replicas_.HeldBytes(replica.id);
-  std::vector<PieceOrder> taken;
+  std::vector<PieceTask> taken;
   for (const std::size_t n :
        FillCall(groups.candidates, {max_pieces, limits_.batch, held})) {
     const Rank last = LastOfGroup(groups.first_ranks[n]);
@@ -228,19 +229,19 @@
          it != waiting_.end() && *it < last && taken.size() < limits_.batch;) {
       Piece& piece = pieces_.at(it->key);
       const bool has_memory =
-          held + piece.order.result_bytes <= groups.candidates[n].memory_limit;
+          held + piece.task.result_bytes <= groups.candidates[n].memory_limit;
       if (!has_memory || piece.tried_replicas.contains(replica.id)) {
         ++it;
         continue;
       }
-      held += piece.order.result_bytes;
-      replicas_.Reserve(replica.id, piece.order.result_bytes);
+      held += piece.task.result_bytes;
+      replicas_.Reserve(replica.id, piece.task.result_bytes);
       piece.queued = false;
       ++piece.calls;
       ++piece.attempts;
       piece.tried_replicas.insert(replica.id);
-      piece.order.time_left = piece.deadline - now;
-      taken.push_back(piece.order);
+      piece.task.time_left = piece.deadline - now;
+      taken.push_back(piece.task);
       it = waiting_.erase(it);
     }
   }
@@ -265,7 +266,7 @@
   call.call.expected = replicas_.CallTime(1, call.call.pieces.size());
   call.call.left_waiting = waiting_.size();
   call.call.held_bytes = replicas_.HeldBytes(replica.id);
-  for (const PieceOrder& it : call.call.pieces) {
+  for (const PieceTask& it : call.call.pieces) {
     PrioritizeSiblings(it.key);
   }
   queue_rate_.OnPiecesStarted(now, call.call.pieces.size(), !waiting_.empty());
@@ -274,10 +275,10 @@
   output_->StartCall(calls_.at(id).call);
 }
 
-StageMakers::CallView PieceBatcher::ViewOf(const Call& call) {
-  StageMakers::CallView view{call.started, call.call.expected, 0,
-                             call.requeued};
-  for (const PieceOrder& it : call.call.pieces) {
+StageReplicas::CallView PieceBatcher::ViewOf(const Call& call) {
+  StageReplicas::CallView view{call.started, call.call.expected, 0,
+                               call.requeued};
+  for (const PieceTask& it : call.call.pieces) {
     view.result_bytes += it.result_bytes;
   }
   return view;
@@ -320,7 +321,7 @@
     ReserveLostResults(now, call);
   }
   for (std::size_t n = 0; n < call.call.pieces.size(); ++n) {
-    const PieceOrder& order = call.call.pieces[n];
+    const PieceTask& task = call.call.pieces[n];
     const bool answered =
         end.kind == PieceCallEnd::Kind::kAnswered && n < end.results.size();
     PieceResult result;
@@ -328,12 +329,12 @@
       result = end.results[n];
       if (!result.handle.empty()) {
         replicas_.AddResult(now, call.call.replica, result.handle,
-                            order.result_bytes);
-      } else if (result.outcome == PieceOutcome::kNoRoom) {
+                            task.result_bytes);
+      } else if (result.outcome == PieceOutcome::kOutOfMemory) {
         replicas_.OnOutOfMemory(now, call.call.replica);
       }
     }
-    result.key = order.key;
+    result.key = task.key;
     EndPiece(now, answered, result);
   }
   Dispatch(now);
@@ -434,7 +435,7 @@
   if (piece->queued) {
     return;
   }
-  const PieceKey key = piece->order.key;
+  const PieceKey key = piece->task.key;
   if (InputsReleased(*piece)) {
     Finish(pieces_.find(key), {key, PieceOutcome::kInputGone, ""});
     return;
@@ -510,7 +511,7 @@
 
 void PieceBatcher::MarkInputsRead(const Call& call) {
   std::vector<std::string> unneeded;
-  for (const PieceOrder& it : call.call.pieces) {
+  for (const PieceTask& it : call.call.pieces) {
     const auto piece = pieces_.find(it.key);
     if (it.sole_users == 0 || it.inputs.empty() || piece == pieces_.end() ||
         piece->second.inputs_read || !output_->ShortOfMemory(it.inputs)) {
@@ -527,16 +528,16 @@
 }
 
 bool PieceBatcher::InputsReleased(const Piece& piece) const {
-  const PieceOrder& order = piece.order;
-  const auto it = inputs_read_.find({order.key.request, order.key.stage});
-  return it != inputs_read_.end() && it->second >= order.sole_users;
+  const PieceTask& task = piece.task;
+  const auto it = inputs_read_.find({task.key.request, task.key.stage});
+  return it != inputs_read_.end() && it->second >= task.sole_users;
 }
 
 void PieceBatcher::RequeueOverdue(TimeUs now, Call* call) {
   call->requeued = true;
   replicas_.OnCallOverdue(now, call->call.replica, ViewOf(*call));
-  for (const auto& order : call->call.pieces) {
-    const auto it = pieces_.find(order.key);
+  for (const auto& task : call->call.pieces) {
+    const auto it = pieces_.find(task.key);
     if (it != pieces_.end() && !it->second.queued && it->second.calls == 1 &&
         it->second.attempts < kMaxCallsPerPiece &&
         !InputsReleased(it->second) && budget_->Take(now)) {
@@ -567,7 +568,7 @@
   if (result_bytes == 0) {
     return limits_.batch;
   }
-  const std::uint64_t fit = limits_.room_bytes / (2 * result_bytes);
+  const std::uint64_t fit = limits_.result_memory_bytes / (2 * result_bytes);
   return std::clamp<std::size_t>(fit, 1, limits_.batch);
 }
 
@@ -595,20 +596,20 @@
                                                    pace.time_per_piece);
 }
 
-PoolWait PieceBatcher::ExpectedWait(TimeUs now) const {
-  std::array<std::size_t, PoolWait::kRanks> ahead{};
+QueueWait PieceBatcher::ExpectedWait(TimeUs now) const {
+  std::array<std::size_t, QueueWait::kRanks> ahead{};
   for (const Rank& it : waiting_) {
     const std::size_t first =
         it.dispatch_class == DispatchClass::kSiblingStarted ? 0
-        : it.dispatch_class == DispatchClass::kLate         ? PoolWait::kRanks
+        : it.dispatch_class == DispatchClass::kLate         ? QueueWait::kRanks
                                                             : it.priority;
-    for (std::size_t n = first; n < PoolWait::kRanks; ++n) {
+    for (std::size_t n = first; n < QueueWait::kRanks; ++n) {
       ++ahead[n];
     }
   }
   const Pace pace = CurrentPace(now);
-  PoolWait wait;
-  for (std::size_t n = 0; n < PoolWait::kRanks; ++n) {
+  QueueWait wait;
+  for (std::size_t n = 0; n < QueueWait::kRanks; ++n) {
     wait.in_time[n] = WaitBehind(pace, ahead[n]);
   }
   wait.late = WaitBehind(pace, waiting_.size());
--- a/src/coordination/stages/piece_batcher.h
+++ b/src/coordination/stages/piece_batcher.h
@@ -33,10 +33,10 @@
 #include <string>
 #include <vector>
 
-#include "coordination/gateway/attempt_budget.h"
+#include "coordination/gateway/service_retry_budget.h"
 #include "coordination/stages/fill_call.h"
 #include "coordination/stages/queue_rate.h"
-#include "coordination/stages/stage_makers.h"
+#include "coordination/stages/stage_replicas.h"
 #include "state/piece.h"
 #include "state/replica_directory.h"
 #include "state/serving_config.h"
@@ -51,7 +51,7 @@
   BatchId id = 0;
   ReplicaId replica;
   Address address;
-  std::vector<PieceOrder> pieces;
+  std::vector<PieceTask> pieces;
   DurationUs expected = 0;  // By a replica of normal speed.
   // The following fields explain the size and duration of the call in the log.
   std::size_t left_waiting = 0;  // Pieces that remain in the queue.
@@ -133,12 +133,12 @@
   static constexpr std::uint32_t kMaxCallsPerPiece = 4;
 
   PieceBatcher(const ReplicaDirectory* directory,
-               AttemptBudget* budget,
+               ServiceRetryBudget* budget,
                PieceBatcherOutput* output);
 
   void SetService(const std::string& name, const BatchLimits& limits);
 
-  void Add(TimeUs now, PieceOrder order);
+  void Add(TimeUs now, PieceTask task);
   // Starts the calls that can be started. Must be called after pieces were
   // added.
   void Dispatch(TimeUs now);
@@ -158,7 +158,7 @@
 
   bool Idle() const { return pieces_.empty() && calls_.empty(); }
   std::size_t waiting() const { return waiting_.size(); }
-  PoolWait ExpectedWait(TimeUs now) const;
+  QueueWait ExpectedWait(TimeUs now) const;
   // Share of the replicas' result memory that is in use.
   double MemoryShareInUse() const { return replicas_.MemoryShareInUse(); }
 
@@ -183,7 +183,7 @@
     auto operator<=>(const Rank&) const = default;
   };
   struct Piece {
-    PieceOrder order;
+    PieceTask task;
     TimeUs deadline = 0;
     TimeUs queued_at = 0;
     // If the piece starts later, its request misses its deadline.
@@ -236,9 +236,9 @@
   // Removes the pieces of a call to `replica` from the queue: up to
   // `max_pieces`, and more if that completes the group of a request. Their
   // results are counted as occupying the replica's memory.
-  std::vector<PieceOrder> TakePieces(TimeUs now,
-                                     const ReplicaEntry& replica,
-                                     std::size_t max_pieces);
+  std::vector<PieceTask> TakePieces(TimeUs now,
+                                    const ReplicaEntry& replica,
+                                    std::size_t max_pieces);
   void StartCallOn(TimeUs now,
                    const ReplicaEntry& replica,
                    std::size_t max_pieces);
@@ -261,14 +261,14 @@
                      const PieceCallEnd& end,
                      const std::function<bool(const Call&)>& matches);
   void ReserveLostResults(TimeUs now, const Call& call);
-  static StageMakers::CallView ViewOf(const Call& call);
+  static StageReplicas::CallView ViewOf(const Call& call);
   void MarkInputsRead(const Call& call);
   // Whether the piece's inputs may have been released, so that it cannot run
   // again.
   bool InputsReleased(const Piece& piece) const;
 
-  StageMakers replicas_;
-  AttemptBudget* const budget_;
+  StageReplicas replicas_;
+  ServiceRetryBudget* const budget_;
   PieceBatcherOutput* const output_;
   BatchLimits limits_;
   std::map<PieceKey, Piece> pieces_;
--- a/src/coordination/stages/piece_desk.h
+++ b/src/coordination/stages/piece_dispatcher.h
@@ -1,7 +1,7 @@
 // Interface through which requests submit their pieces to the batching
 // services, whether this gateway or another one makes the calls.
-#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_DESK_H_
-#define ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_DESK_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_DISPATCHER_H_
+#define ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_DISPATCHER_H_
 
 #include <string>
 #include <vector>
@@ -11,21 +11,21 @@
 
 namespace acaciachute {
 
-class PieceDesk {
+class PieceDispatcher {
  public:
-  virtual ~PieceDesk() = default;
+  virtual ~PieceDispatcher() = default;
   // Submits pieces. Exactly one result is delivered per piece, unless `Drop`
   // cancels its request first.
-  virtual void Submit(TimeUs now, std::vector<PieceOrder> orders) = 0;
+  virtual void Submit(TimeUs now, std::vector<PieceTask> tasks) = 0;
   // Cancels the request's pieces. Must be called when a request that submitted
   // pieces ends.
   virtual void Drop(const std::string& request) = 0;
   // Releases results that no request needs any longer.
   virtual void Free(const std::vector<std::string>& handles) = 0;
-  virtual PoolWait ExpectedWait(TimeUs now,
-                                const std::string& service) const = 0;
+  virtual QueueWait ExpectedWait(TimeUs now,
+                                 const std::string& service) const = 0;
 };
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_DESK_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_PIECE_DISPATCHER_H_
--- a/src/coordination/stages/shared_piece_desk.cc
+++ b/src/coordination/stages/shared_piece_dispatcher.cc
@@ -1,16 +1,17 @@
-#include "coordination/stages/shared_piece_desk.h"
+#include "coordination/stages/shared_piece_dispatcher.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace acaciachute {
 
-SharedPieceDesk::SharedPieceDesk(NodeId self,
-                                 const GatewayPeers* peers,
-                                 LocalPieceDesk* local,
-                                 const ReplicaDirectory* directory,
-                                 SharedPieceDeskOutput* output,
-                                 EventLog* log)
+SharedPieceDispatcher::SharedPieceDispatcher(
+    NodeId self,
+    const GatewayPeers* peers,
+    LocalPieceDispatcher* local,
+    const ReplicaDirectory* directory,
+    SharedPieceDispatcherOutput* output,
+    EventLog* log)
     : self_(std::move(self)),
       peers_(peers),
       local_(local),
@@ -18,56 +19,57 @@
       output_(output),
       log_(log) {}
 
-void SharedPieceDesk::Submit(TimeUs now, std::vector<PieceOrder> orders) {
-  for (const PieceOrder& it : orders) {
+void SharedPieceDispatcher::Submit(TimeUs now, std::vector<PieceTask> tasks) {
+  for (const PieceTask& it : tasks) {
     Pending& pending = pending_[it.key];
-    pending.order = it;
+    pending.task = it;
     pending.deadline = now + it.time_left;
     pending.latest_start = now + it.time_to_begin;
     pending.request_arrived_at = now - it.waited;
   }
-  SendToOwner(now, std::move(orders));
+  SendToOwner(now, std::move(tasks));
 }
 
 // All tasks belong to one request and one service.
-void SharedPieceDesk::SendToOwner(TimeUs now, std::vector<PieceOrder> orders) {
-  const NodeId owner = peers_->OwnerOf(orders.front().service);
-  for (const PieceOrder& it : orders) {
+void SharedPieceDispatcher::SendToOwner(TimeUs now,
+                                        std::vector<PieceTask> tasks) {
+  const NodeId owner = peers_->OwnerOf(tasks.front().service);
+  for (const PieceTask& it : tasks) {
     Pending& pending = pending_[it.key];
     pending.owner = owner;
     pending.sent_at = now;
   }
   if (owner == self_) {
-    local_->Submit(now, std::move(orders));
+    local_->Submit(now, std::move(tasks));
   } else {
-    owners_[orders.front().key.request].insert(owner);
-    output_->SendToPeer(owner, PieceOrders{std::move(orders)});
+    owners_[tasks.front().key.request].insert(owner);
+    output_->SendToPeer(owner, PieceTasks{std::move(tasks)});
   }
 }
 
-void SharedPieceDesk::Resubmit(TimeUs now,
-                               const std::vector<PieceKey>& keys,
-                               const char* reason) {
+void SharedPieceDispatcher::Resubmit(TimeUs now,
+                                     const std::vector<PieceKey>& keys,
+                                     const char* reason) {
   using Group = std::pair<std::string, std::string>;  // Request and service.
-  std::map<Group, std::vector<PieceOrder>> groups;
+  std::map<Group, std::vector<PieceTask>> groups;
   for (const PieceKey& key : keys) {
     Pending& pending = pending_.at(key);
-    PieceOrder order = pending.order;
-    order.time_left = pending.deadline - now;
-    order.time_to_begin = pending.latest_start - now;
-    order.waited = now - pending.request_arrived_at;
-    groups[{key.request, order.service}].push_back(std::move(order));
+    PieceTask task = pending.task;
+    task.time_left = pending.deadline - now;
+    task.time_to_begin = pending.latest_start - now;
+    task.waited = now - pending.request_arrived_at;
+    groups[{key.request, task.service}].push_back(std::move(task));
   }
-  for (auto& [group, orders] : groups) {
+  for (auto& [group, tasks] : groups) {
     log_->Write("pieces_again", {{"id", group.first},
                                  {"service", group.second},
-                                 {"pieces", orders.size()},
+                                 {"pieces", tasks.size()},
                                  {"why", reason}});
-    SendToOwner(now, std::move(orders));
+    SendToOwner(now, std::move(tasks));
   }
 }
 
-void SharedPieceDesk::Drop(const std::string& request) {
+void SharedPieceDispatcher::Drop(const std::string& request) {
   auto it = pending_.lower_bound(PieceKey{request, 0, 0});
   while (it != pending_.end() && it->first.request == request) {
     it = pending_.erase(it);
@@ -78,16 +80,16 @@
     return;
   }
   for (const NodeId& owner : owners.mapped()) {
-    output_->SendToPeer(owner, PieceDrop{request});
+    output_->SendToPeer(owner, PieceCancel{request});
   }
 }
 
 // The gateway that batches the service of the producing replica keeps the
 // account of that replica's memory, so the release goes there.
-void SharedPieceDesk::Free(const std::vector<std::string>& handles) {
+void SharedPieceDispatcher::Free(const std::vector<std::string>& handles) {
   std::map<std::string, std::vector<std::string>> by_service;
   for (const auto& handle : handles) {
-    const ReplicaEntry* producer = directory_->MakerOf(handle);
+    const ReplicaEntry* producer = directory_->ProducerOf(handle);
     if (producer != nullptr) {
       by_service[producer->service].push_back(handle);
     }
@@ -97,21 +99,23 @@
     if (owner == self_) {
       local_->FreeForService(service, released);
     } else {
-      output_->SendToPeer(owner, PieceFree{std::move(released)});
+      output_->SendToPeer(owner, PieceRelease{std::move(released)});
     }
   }
 }
 
-PoolWait SharedPieceDesk::ExpectedWait(TimeUs now,
-                                       const std::string& service) const {
+QueueWait SharedPieceDispatcher::ExpectedWait(
+    TimeUs now,
+    const std::string& service) const {
   if (peers_->OwnerOf(service) == self_) {
     return local_->ExpectedWait(now, service);
   }
   const auto it = peer_waits_.find(service);
-  return it == peer_waits_.end() ? PoolWait{} : it->second;
+  return it == peer_waits_.end() ? QueueWait{} : it->second;
 }
 
-double SharedPieceDesk::MemoryShareInUse(const std::string& service) const {
+double SharedPieceDispatcher::MemoryShareInUse(
+    const std::string& service) const {
   if (peers_->OwnerOf(service) == self_) {
     return local_->MemoryShareInUse(service);
   }
@@ -119,11 +123,11 @@
   return it == peer_waits_.end() ? 0 : it->second.memory;
 }
 
-bool SharedPieceDesk::ShortOfMemory(
+bool SharedPieceDispatcher::ShortOfMemory(
     const std::vector<std::string>& handles) const {
   std::set<std::string> services;
   for (const auto& handle : handles) {
-    if (const ReplicaEntry* producer = directory_->MakerOf(handle)) {
+    if (const ReplicaEntry* producer = directory_->ProducerOf(handle)) {
       services.insert(producer->service);
     }
   }
@@ -132,8 +136,9 @@
   });
 }
 
-std::vector<ServiceWait> SharedPieceDesk::OwnWaits(TimeUs now) const {
-  std::vector<ServiceWait> waits;
+std::vector<ServiceQueueWait> SharedPieceDispatcher::OwnQueueWaits(
+    TimeUs now) const {
+  std::vector<ServiceQueueWait> waits;
   for (const auto& [service, batcher] : local_->batchers()) {
     if (peers_->OwnerOf(service) == self_) {
       waits.push_back({service, batcher->ExpectedWait(now)});
@@ -142,20 +147,21 @@
   return waits;
 }
 
-bool SharedPieceDesk::Batches() const {
+bool SharedPieceDispatcher::Batches() const {
   const auto& batchers = local_->batchers();
   return std::any_of(batchers.begin(), batchers.end(), [&](const auto& it) {
     return peers_->OwnerOf(it.first) == self_;
   });
 }
 
-void SharedPieceDesk::OnPeerWaits(const std::vector<ServiceWait>& waits) {
-  for (const ServiceWait& it : waits) {
+void SharedPieceDispatcher::OnPeerQueueWaits(
+    const std::vector<ServiceQueueWait>& waits) {
+  for (const ServiceQueueWait& it : waits) {
     peer_waits_[it.service] = it.wait;
   }
 }
 
-void SharedPieceDesk::OnLocalPiece(const PieceResult& result) {
+void SharedPieceDispatcher::OnLocalPiece(const PieceResult& result) {
   const auto it = requesters_.find(result.key.request);
   if (it != requesters_.end()) {
     results_[it->second].push_back(result);
@@ -164,7 +170,7 @@
   OnOwnResult(result);
 }
 
-void SharedPieceDesk::OnOwnResult(const PieceResult& result) {
+void SharedPieceDispatcher::OnOwnResult(const PieceResult& result) {
   if (pending_.erase(result.key) > 0) {
     output_->OnOwnPiece(result);
   } else if (!result.handle.empty()) {
@@ -173,31 +179,31 @@
   }
 }
 
-void SharedPieceDesk::OnPeerOrders(TimeUs now,
-                                   const NodeId& from,
-                                   const PieceOrders& orders) {
-  for (const PieceOrder& it : orders.orders) {
+void SharedPieceDispatcher::OnPeerTasks(TimeUs now,
+                                        const NodeId& from,
+                                        const PieceTasks& tasks) {
+  for (const PieceTask& it : tasks.tasks) {
     requesters_[it.key.request] = from;
   }
-  local_->Submit(now, orders.orders);
+  local_->Submit(now, tasks.tasks);
 }
 
-void SharedPieceDesk::OnPeerDrop(const PieceDrop& drop) {
-  requesters_.erase(drop.request);
-  local_->Drop(drop.request);
+void SharedPieceDispatcher::OnPeerCancel(const PieceCancel& cancel) {
+  requesters_.erase(cancel.request);
+  local_->Drop(cancel.request);
 }
 
-void SharedPieceDesk::OnPeerFree(const PieceFree& free) {
-  local_->Free(free.handles);
+void SharedPieceDispatcher::OnPeerRelease(const PieceRelease& release) {
+  local_->Free(release.handles);
 }
 
-void SharedPieceDesk::OnPeerResults(const PieceResults& results) {
+void SharedPieceDispatcher::OnPeerResults(const PieceResults& results) {
   for (const PieceResult& it : results.results) {
     OnOwnResult(it);
   }
 }
 
-void SharedPieceDesk::OnPeerLost(TimeUs now, const NodeId& peer) {
+void SharedPieceDispatcher::OnPeerLost(TimeUs now, const NodeId& peer) {
   std::vector<std::string> dropped;
   for (const auto& [request, node] : requesters_) {
     if (node == peer) {
@@ -205,7 +211,7 @@
     }
   }
   for (const auto& request : dropped) {
-    OnPeerDrop({request});
+    OnPeerCancel({request});
   }
   std::vector<PieceKey> lost;
   for (const auto& [key, pending] : pending_) {
@@ -216,19 +222,19 @@
   Resubmit(now, lost, "the batching gateway was lost");
 }
 
-void SharedPieceDesk::SendResults() {
+void SharedPieceDispatcher::SendResults() {
   for (auto& [peer, results] : std::exchange(results_, {})) {
     output_->SendToPeer(peer, PieceResults{std::move(results)});
   }
 }
 
-void SharedPieceDesk::OnTick(TimeUs now) {
+void SharedPieceDispatcher::OnTick(TimeUs now) {
   SendResults();
   std::vector<PieceKey> overdue;
   for (const auto& [key, pending] : pending_) {
     const DurationUs beyond = now - pending.sent_at - kResultTimeout;
     if (pending.owner != self_ && beyond > 0 &&
-        beyond > ExpectedWait(now, pending.order.service).late) {
+        beyond > ExpectedWait(now, pending.task.service).late) {
       overdue.push_back(key);
     }
   }
--- a/src/coordination/stages/shared_piece_desk.h
+++ b/src/coordination/stages/shared_piece_dispatcher.h
@@ -7,8 +7,8 @@
 // resubmitted to the current batching gateway as soon as the first one is lost,
 // or when no result came within `kResultTimeout`. A piece that runs twice costs
 // only its time; the second result is released.
-#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DESK_H_
-#define ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DESK_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DISPATCHER_H_
+#define ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DISPATCHER_H_
 
 #include <map>
 #include <set>
@@ -16,38 +16,38 @@
 #include <vector>
 
 #include "coordination/membership/gateway_peers.h"
-#include "coordination/stages/local_piece_desk.h"
-#include "coordination/stages/piece_desk.h"
+#include "coordination/stages/local_piece_dispatcher.h"
+#include "coordination/stages/piece_dispatcher.h"
 #include "messages.h"
 
 namespace acaciachute {
 
-class SharedPieceDeskOutput {
+class SharedPieceDispatcherOutput {
  public:
-  virtual ~SharedPieceDeskOutput() = default;
+  virtual ~SharedPieceDispatcherOutput() = default;
   virtual void SendToPeer(const NodeId& peer, const Message& message) = 0;
   // Delivers a result of a request that this gateway handles itself.
   virtual void OnOwnPiece(const PieceResult& result) = 0;
 };
 
-class SharedPieceDesk : public PieceDesk {
+class SharedPieceDispatcher : public PieceDispatcher {
  public:
   // How long a result may take beyond the queue wait that the batching gateway
   // last reported. It covers several calls, so a piece that is later than that
   // is more likely lost than slow.
   static constexpr DurationUs kResultTimeout = 2500 * kMillisecond;
 
-  SharedPieceDesk(NodeId self,
-                  const GatewayPeers* peers,
-                  LocalPieceDesk* local,
-                  const ReplicaDirectory* directory,
-                  SharedPieceDeskOutput* output,
-                  EventLog* log);
+  SharedPieceDispatcher(NodeId self,
+                        const GatewayPeers* peers,
+                        LocalPieceDispatcher* local,
+                        const ReplicaDirectory* directory,
+                        SharedPieceDispatcherOutput* output,
+                        EventLog* log);
 
-  void Submit(TimeUs now, std::vector<PieceOrder> orders) override;
+  void Submit(TimeUs now, std::vector<PieceTask> tasks) override;
   void Drop(const std::string& request) override;
   void Free(const std::vector<std::string>& handles) override;
-  PoolWait ExpectedWait(TimeUs now, const std::string& service) const override;
+  QueueWait ExpectedWait(TimeUs now, const std::string& service) const override;
 
   // Whether one of the services that produced these results uses more than
   // `kMemoryShortageShare` of its memory for results.
@@ -58,14 +58,14 @@
 
   // Result of a piece that this gateway's batchers ran or failed to run.
   void OnLocalPiece(const PieceResult& result);
-  void OnPeerOrders(TimeUs now, const NodeId& from, const PieceOrders& orders);
-  void OnPeerDrop(const PieceDrop& drop);
-  void OnPeerFree(const PieceFree& free);
+  void OnPeerTasks(TimeUs now, const NodeId& from, const PieceTasks& tasks);
+  void OnPeerCancel(const PieceCancel& cancel);
+  void OnPeerRelease(const PieceRelease& release);
   void OnPeerResults(const PieceResults& results);
   // Queue waits that the batching gateways reported.
-  void OnPeerWaits(const std::vector<ServiceWait>& waits);
+  void OnPeerQueueWaits(const std::vector<ServiceQueueWait>& waits);
   // Queue waits of the services that this gateway batches.
-  std::vector<ServiceWait> OwnWaits(TimeUs now) const;
+  std::vector<ServiceQueueWait> OwnQueueWaits(TimeUs now) const;
   // Whether this gateway batches any service.
   bool Batches() const;
   void OnPeerLost(TimeUs now, const NodeId& peer);
@@ -79,7 +79,7 @@
  private:
   // A piece of a request of this gateway that has no result yet.
   struct Pending {
-    PieceOrder order;
+    PieceTask task;
     NodeId owner;
     TimeUs deadline = 0;
     TimeUs latest_start = 0;
@@ -88,7 +88,7 @@
   };
 
   double MemoryShareInUse(const std::string& service) const;
-  void SendToOwner(TimeUs now, std::vector<PieceOrder> orders);
+  void SendToOwner(TimeUs now, std::vector<PieceTask> tasks);
   void Resubmit(TimeUs now,
                 const std::vector<PieceKey>& keys,
                 const char* reason);
@@ -96,9 +96,9 @@
 
   const NodeId self_;
   const GatewayPeers* const peers_;
-  LocalPieceDesk* const local_;
+  LocalPieceDispatcher* const local_;
   const ReplicaDirectory* const directory_;
-  SharedPieceDeskOutput* const output_;
+  SharedPieceDispatcherOutput* const output_;
   EventLog* const log_;
   std::map<PieceKey, Pending> pending_;
   // By request of this gateway: the other gateways that received pieces of it.
@@ -106,11 +106,11 @@
   // Requests of other gateways with pieces in progress here, and the gateway
   // that sent each.
   std::map<std::string, NodeId> requesters_;
-  std::map<std::string, PoolWait> peer_waits_;
+  std::map<std::string, QueueWait> peer_waits_;
   // By receiver, not sent yet.
   std::map<NodeId, std::vector<PieceResult>> results_;
 };
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DESK_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DISPATCHER_H_
--- a/src/coordination/stages/stage_makers.cc
+++ b/src/coordination/stages/stage_replicas.cc
@@ -1,4 +1,4 @@
-#include "coordination/stages/stage_makers.h"
+#include "coordination/stages/stage_replicas.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,13 +6,13 @@
 
 namespace acaciachute {
 
-void StageMakers::SetService(const std::string& name,
-                             const BatchLimits& limits) {
+void StageReplicas::SetService(const std::string& name,
+                               const BatchLimits& limits) {
   service_ = name;
   limits_ = limits;
 }
 
-double StageMakers::SlownessOf(TimeUs now, const ReplicaState& state) {
+double StageReplicas::SlownessOf(TimeUs now, const ReplicaState& state) {
   const double age_in_decay_times =
       static_cast<double>(now - state.measured_at) /
       static_cast<double>(kSlownessDecayTime);
@@ -20,29 +20,30 @@
          (state.slowness - 1) * std::exp(-std::max(0.0, age_in_decay_times));
 }
 
-const StageMakers::ReplicaState* StageMakers::Find(const ReplicaId& id) const {
+const StageReplicas::ReplicaState* StageReplicas::Find(
+    const ReplicaId& id) const {
   const auto it = states_.find(id);
   return it == states_.end() ? nullptr : &it->second;
 }
 
-double StageMakers::Slowness(TimeUs now, const ReplicaId& id) const {
+double StageReplicas::Slowness(TimeUs now, const ReplicaId& id) const {
   const ReplicaState* state = Find(id);
   return state == nullptr ? 1 : SlownessOf(now, *state);
 }
 
-DurationUs StageMakers::CallTime(double slowness, std::size_t pieces) const {
+DurationUs StageReplicas::CallTime(double slowness, std::size_t pieces) const {
   const auto normal =
       static_cast<double>(limits_.call) +
       static_cast<double>(limits_.piece) * static_cast<double>(pieces);
   return static_cast<DurationUs>(slowness * normal);
 }
 
-bool StageMakers::InEvacuatedDomain(const std::string& handle) const {
-  const ReplicaEntry* producer = directory_->MakerOf(handle);
+bool StageReplicas::InEvacuatedDomain(const std::string& handle) const {
+  const ReplicaEntry* producer = directory_->ProducerOf(handle);
   return producer != nullptr && directory_->IsEvacuated(producer->domain);
 }
 
-std::vector<const ReplicaEntry*> StageMakers::FreeReplicas(TimeUs now) {
+std::vector<const ReplicaEntry*> StageReplicas::FreeReplicas(TimeUs now) {
   std::vector<std::pair<double, const ReplicaEntry*>> found;
   for (const ReplicaEntry* it : All()) {
     const ReplicaState& state = states_[it->id];
@@ -61,9 +62,9 @@
   return free;
 }
 
-bool StageMakers::ShouldUse(TimeUs now,
-                            const ReplicaEntry& replica,
-                            std::size_t waiting) {
+bool StageReplicas::ShouldUse(TimeUs now,
+                              const ReplicaEntry& replica,
+                              std::size_t waiting) {
   const double slowness = Slowness(now, replica.id);
   if (slowness < kSlowThreshold) {
     return true;
@@ -92,12 +93,12 @@
          others_done;
 }
 
-bool StageMakers::InBackoff(TimeUs now, const ReplicaId& id) const {
+bool StageReplicas::InBackoff(TimeUs now, const ReplicaId& id) const {
   const ReplicaState* state = Find(id);
   return state != nullptr && now < state->backoff_until;
 }
 
-StageMakers::Availability StageMakers::NextAvailability(
+StageReplicas::Availability StageReplicas::NextAvailability(
     TimeUs now,
     DurationUs max_wait) const {
   Availability first{0, max_wait};
@@ -114,9 +115,9 @@
   return first;
 }
 
-DurationUs StageMakers::OnCallStarted(TimeUs now,
-                                      const ReplicaId& id,
-                                      std::size_t pieces) {
+DurationUs StageReplicas::OnCallStarted(TimeUs now,
+                                        const ReplicaId& id,
+                                        std::size_t pieces) {
   ReplicaState& state = states_[id];
   ++state.calls;
   const DurationUs takes = CallTime(SlownessOf(now, state), pieces);
@@ -124,9 +125,9 @@
   return takes;
 }
 
-void StageMakers::OnCallOverdue(TimeUs now,
-                                const ReplicaId& id,
-                                const CallView& call) {
+void StageReplicas::OnCallOverdue(TimeUs now,
+                                  const ReplicaId& id,
+                                  const CallView& call) {
   ReplicaState& state = states_[id];
   if (state.calls > 0) {
     --state.calls;
@@ -138,10 +139,10 @@
   state.measured_at = now;
 }
 
-void StageMakers::OnCallEnded(TimeUs now,
-                              const ReplicaId& id,
-                              const CallView& call,
-                              End end) {
+void StageReplicas::OnCallEnded(TimeUs now,
+                                const ReplicaId& id,
+                                const CallView& call,
+                                End end) {
   ReplicaState& state = states_[id];
   std::uint32_t& calls = call.overdue ? state.overdue : state.calls;
   if (calls > 0) {
@@ -165,41 +166,41 @@
   state.measured_at = now;
 }
 
-void StageMakers::OnOutOfMemory(TimeUs now, const ReplicaId& id) {
+void StageReplicas::OnOutOfMemory(TimeUs now, const ReplicaId& id) {
   states_[id].out_of_memory_until = now + kOutOfMemoryBackoff;
 }
 
-std::uint64_t StageMakers::HeldBytes(const ReplicaId& id) const {
+std::uint64_t StageReplicas::HeldBytes(const ReplicaId& id) const {
   const ReplicaState* state = Find(id);
   return state == nullptr ? 0 : state->held_bytes;
 }
 
-void StageMakers::Reserve(const ReplicaId& id, std::uint64_t bytes) {
+void StageReplicas::Reserve(const ReplicaId& id, std::uint64_t bytes) {
   states_[id].held_bytes += bytes;
 }
 
-void StageMakers::Release(const ReplicaId& id, std::uint64_t bytes) {
+void StageReplicas::Release(const ReplicaId& id, std::uint64_t bytes) {
   if (const auto it = states_.find(id); it != states_.end()) {
     it->second.held_bytes -= std::min(it->second.held_bytes, bytes);
   }
 }
 
-void StageMakers::AddResult(TimeUs now,
-                            const ReplicaId& id,
-                            const std::string& handle,
-                            std::uint64_t bytes) {
+void StageReplicas::AddResult(TimeUs now,
+                              const ReplicaId& id,
+                              const std::string& handle,
+                              std::uint64_t bytes) {
   results_[handle] = {id, bytes, now + limits_.result_life};
   Reserve(id, bytes);
 }
 
-void StageMakers::RemoveResult(const std::string& handle) {
+void StageReplicas::RemoveResult(const std::string& handle) {
   if (const auto it = results_.find(handle); it != results_.end()) {
     Release(it->second.producer, it->second.bytes);
     results_.erase(it);
   }
 }
 
-void StageMakers::RemoveExpiredResults(TimeUs now) {
+void StageReplicas::RemoveExpiredResults(TimeUs now) {
   for (auto it = results_.begin(); it != results_.end();) {
     if (now < it->second.expires_at) {
       ++it;
@@ -210,12 +211,12 @@
   }
 }
 
-double StageMakers::MemoryShareInUse() const {
+double StageReplicas::MemoryShareInUse() const {
   double held = 0;
   for (const ReplicaEntry* it : All()) {
     held += static_cast<double>(HeldBytes(it->id));
   }
-  const double capacity = static_cast<double>(limits_.room_bytes) *
+  const double capacity = static_cast<double>(limits_.result_memory_bytes) *
                           static_cast<double>(All().size());
   return capacity > 0 ? held / capacity : 0;
 }
--- a/src/coordination/stages/stage_makers.h
+++ b/src/coordination/stages/stage_replicas.h
@@ -1,8 +1,8 @@
 // State of the replicas of one service as its batcher sees them: which are
 // free, how slow each is, which failed recently, and how much of their memory
 // results occupy.
-#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
-#define ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
+#define ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
 
 #include <cstdint>
 #include <map>
@@ -16,7 +16,7 @@
 
 namespace acaciachute {
 
-class StageMakers {
+class StageReplicas {
  public:
   // Time without calls to a replica after a refused or broken call; it doubles
   // with each further failure. A restart takes some seconds; a recovered
@@ -54,7 +54,7 @@
     DurationUs wait = 0;  // Until the first of them is free.
   };
 
-  explicit StageMakers(const ReplicaDirectory* directory)
+  explicit StageReplicas(const ReplicaDirectory* directory)
       : directory_(directory) {}
 
   void SetService(const std::string& name, const BatchLimits& limits);
@@ -135,4 +135,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
--- a/src/coordination/tables/store_questions.cc
+++ b/src/coordination/tables/store_requests.cc
@@ -1,14 +1,14 @@
-#include "coordination/tables/store_questions.h"
+#include "coordination/tables/store_requests.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace acaciachute {
 
-StoreQuestions::StoreQuestions(std::string table, StoreReader* store)
+StoreRequests::StoreRequests(std::string table, StoreReader* store)
     : table_(std::move(table)), store_(store) {}
 
-void StoreQuestions::Ask(TimeUs now, TableQuery query) {
+void StoreRequests::Ask(TimeUs now, TableQuery query) {
   if (!requests_.empty()) {
     requests_.back().awaited = false;
   }
@@ -21,7 +21,7 @@
   store_->Ask({table_, requests_.back().id, std::move(query), heard_for});
 }
 
-std::optional<StoreQuestions::Sent> StoreQuestions::Take(std::uint64_t id) {
+std::optional<StoreRequests::Sent> StoreRequests::Take(std::uint64_t id) {
   const auto it =
       std::find_if(requests_.begin(), requests_.end(),
                    [id](const Sent& sent) { return sent.id == id; });
@@ -33,12 +33,12 @@
   return sent;
 }
 
-const StoreQuestions::Sent* StoreQuestions::Awaited() const {
+const StoreRequests::Sent* StoreRequests::Awaited() const {
   return !requests_.empty() && requests_.back().awaited ? &requests_.back()
                                                         : nullptr;
 }
 
-std::optional<StoreQuestions::Sent> StoreQuestions::TimeOutAwaited(
+std::optional<StoreRequests::Sent> StoreRequests::TimeOutAwaited(
     TimeUs now,
     DurationUs timeout) {
   const Sent* const awaited = Awaited();
--- a/src/coordination/tables/store_questions.h
+++ b/src/coordination/tables/store_requests.h
@@ -6,8 +6,8 @@
 // again only after the time limit of the lost request. So a request is no
 // longer awaited after `FreshnessPlan::store_timeout`, or when a newer one
 // replaces it, but its answer is accepted until `kAnswerAcceptTimeout`.
-#ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_QUESTIONS_H_
-#define ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_QUESTIONS_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
+#define ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
 
 #include <cstdint>
 #include <optional>
@@ -28,7 +28,7 @@
   DurationUs wait = 0;
 };
 
-struct StoreQuestion {
+struct StoreRequest {
   std::string table;
   std::uint64_t id = 0;  // Unique for the table.
   TableQuery query;
@@ -41,12 +41,12 @@
   virtual ~StoreReader() = default;
   // Sends the request. Exactly one answer follows, with the same table and id,
   // also after a time-out.
-  virtual void Ask(const StoreQuestion& question) = 0;
+  virtual void Ask(const StoreRequest& request) = 0;
   // Cancels the request: no answer follows.
   virtual void Forget(const std::string& table, std::uint64_t id) = 0;
 };
 
-class StoreQuestions {
+class StoreRequests {
  public:
   static constexpr DurationUs kAnswerAcceptTimeout = 3 * kSecond;
   // Largest number of requests in flight. Beyond it the oldest, which a slow
@@ -60,7 +60,7 @@
     bool awaited = true;
   };
 
-  StoreQuestions(std::string table, StoreReader* store);
+  StoreRequests(std::string table, StoreReader* store);
 
   // Sends a request, which replaces the awaited one if there is one.
   void Ask(TimeUs now, TableQuery query);
@@ -83,4 +83,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_QUESTIONS_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
--- a/src/coordination/tables/table_relay.cc
+++ b/src/coordination/tables/table_relay.cc
@@ -88,12 +88,12 @@
       held.from, TableReply{table_, held.request.sequence, std::move(answer)});
 }
 
-bool TableRelay::CanAnswer(const TableQuestion& request) const {
+bool TableRelay::CanAnswer(const TableRequest& request) const {
   return known_ && (request.whole ? version_ >= request.after
                                   : request.after >= history_from_);
 }
 
-bool TableRelay::HasChanges(const TableQuestion& request) const {
+bool TableRelay::HasChanges(const TableRequest& request) const {
   const auto has_newer = [&](const VersionIndex& changes) {
     return !changes.empty() && changes.rbegin()->first > request.after;
   };
@@ -102,7 +102,7 @@
 }
 
 bool TableRelay::ShouldAnswerNow(const HeldRequest& held) const {
-  const TableQuestion& request = held.request;
+  const TableRequest& request = held.request;
   if (!CanAnswer(request)) {
     return true;  // The answer is that this gateway has no data for it.
   }
@@ -115,7 +115,7 @@
 }
 
 TableAnswer TableRelay::ChangesSince(const HeldRequest& held) const {
-  const TableQuestion& request = held.request;
+  const TableRequest& request = held.request;
   TableAnswer answer;
   if (!known_ || (request.whole && bytes_ > kMaxTableBytes)) {
     answer.why =
@@ -169,9 +169,9 @@
   return answer;
 }
 
-void TableRelay::OnQuestion(TimeUs now,
-                            const NodeId& from,
-                            const TableQuestion& request) {
+void TableRelay::OnTableRequest(TimeUs now,
+                                const NodeId& from,
+                                const TableRequest& request) {
   std::erase_if(held_requests_,
                 [&](const HeldRequest& held) { return held.from == from; });
   const HeldRequest held{from, request, now, now + kMaxHoldTime};
--- a/src/coordination/tables/table_relay.h
+++ b/src/coordination/tables/table_relay.h
@@ -56,7 +56,9 @@
   void OnCurrent(TimeUs known_at, std::uint64_t version);
   void OnLost();
 
-  void OnQuestion(TimeUs now, const NodeId& from, const TableQuestion& request);
+  void OnTableRequest(TimeUs now,
+                      const NodeId& from,
+                      const TableRequest& request);
   void OnPeerLost(const NodeId& peer);
   // Answers the requests that were held for `kMaxHoldTime`. Call it every 10
   // ms.
@@ -65,15 +67,15 @@
  private:
   struct HeldRequest {
     NodeId from;
-    TableQuestion request;
+    TableRequest request;
     TimeUs arrived_at = 0;
     TimeUs answer_by = 0;
   };
 
-  bool HasChanges(const TableQuestion& request) const;
+  bool HasChanges(const TableRequest& request) const;
   // Whether this gateway's copy suffices for an answer, with or without
   // changes.
-  bool CanAnswer(const TableQuestion& request) const;
+  bool CanAnswer(const TableRequest& request) const;
   bool ShouldAnswerNow(const HeldRequest& held) const;
   void Reply(const HeldRequest& held, TableAnswer answer);
   // All that changed after the version in the request.
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -30,7 +30,7 @@
       metrics_(metrics),
       log_(log),
       on_answer_(std::move(on_answer)),
-      store_questions_(table_, store) {}
+      store_requests_(table_, store) {}
 
 void TableSource::ReadRows(TimeUs now,
                            const std::string&,
@@ -54,7 +54,7 @@
 }
 
 void TableSource::RequestFromStoreIfOld(TimeUs now) {
-  const StoreQuestions::Sent* const awaited = store_questions_.Awaited();
+  const StoreRequests::Sent* const awaited = store_requests_.Awaited();
   const bool held_by_store = awaited != nullptr && awaited->query.wait > 0;
   if (!NeedsAnswer() || known_at_ < 0 || !IsOld(now) ||
       !MayRequestFromStore(now) || (awaited != nullptr && !held_by_store)) {
@@ -100,7 +100,7 @@
 }
 
 void TableSource::RequestFromStore(TimeUs now) {
-  if (store_questions_.Awaited() == nullptr) {
+  if (store_requests_.Awaited() == nullptr) {
     SendStoreRequest(now);
   }
 }
@@ -120,7 +120,7 @@
   if (relay_request_.peer.empty()) {
     LogSource(now, std::string(kStoreSource), last_failure_);
   }
-  store_questions_.Ask(now, std::move(query));
+  store_requests_.Ask(now, std::move(query));
 }
 
 // The store may be reachable only for gateways that are not relays. So a relay
@@ -153,7 +153,7 @@
   relay_request_ = {peer, ++next_sequence_, now};
   metrics_->Count("acaciachute_gateway_table_questions_total", "relay");
   LogSource(now, peer, last_failure_);
-  TableQuestion it;
+  TableRequest it;
   it.table = table_;
   it.sequence = relay_request_.sequence;
   it.whole = read_.query.whole;
@@ -167,7 +167,7 @@
 void TableSource::OnStoreAnswer(TimeUs now,
                                 std::uint64_t id,
                                 TableAnswer answer) {
-  const auto sent = store_questions_.Take(id);
+  const auto sent = store_requests_.Take(id);
   if (!sent) {
     return;
   }
@@ -206,7 +206,7 @@
 
 // The read that the store request was sent for may have been answered by a
 // relay meanwhile. The store's answer then contains the later changes too.
-bool TableSource::AnswersRead(const StoreQuestions::Sent& sent,
+bool TableSource::AnswersRead(const StoreRequests::Sent& sent,
                               const TableAnswer& answer) const {
   const TableQuery& query = read_.query;
   return NeedsAnswer() && sent.query.whole == query.whole &&
@@ -214,7 +214,7 @@
          (query.whole || answer.version >= query.after);
 }
 
-void TableSource::LogLateAnswer(TimeUs now, const StoreQuestions::Sent& sent) {
+void TableSource::LogLateAnswer(TimeUs now, const StoreRequests::Sent& sent) {
   const DurationUs took = now - sent.sent_at;
   if (sent.awaited || took < sent.query.wait + StoreTimeout()) {
     return;
@@ -275,7 +275,7 @@
     RequestFromStore(now);
   }
   const bool store_is_lost =
-      store_failed_ && store_questions_.Awaited() == nullptr;
+      store_failed_ && store_requests_.Awaited() == nullptr;
   if (store_is_lost && !MayRequestFromStore(now)) {
     Fail(now, answer);
     return;
@@ -347,7 +347,7 @@
   if (relay_request_.peer.empty() && MayRequestFromStore(now)) {
     RequestFromStore(now);
   }
-  if (!relay_request_.peer.empty() || store_questions_.Awaited() != nullptr) {
+  if (!relay_request_.peer.empty() || store_requests_.Awaited() != nullptr) {
     return;
   }
   TableAnswer failed;
@@ -377,7 +377,7 @@
 }
 
 void TableSource::CheckStoreTimeout(TimeUs now) {
-  const auto sent = store_questions_.TimeOutAwaited(now, StoreTimeout());
+  const auto sent = store_requests_.TimeOutAwaited(now, StoreTimeout());
   if (!sent) {
     return;
   }
--- a/src/coordination/tables/table_source.h
+++ b/src/coordination/tables/table_source.h
@@ -27,7 +27,7 @@
 #include "coordination/membership/gateway_peers.h"
 #include "coordination/tables/freshness_plan.h"
 #include "coordination/tables/remote_clock.h"
-#include "coordination/tables/store_questions.h"
+#include "coordination/tables/store_requests.h"
 #include "coordination/tables/table_relay.h"
 #include "coordination/tables/table_watch.h"
 #include "messages.h"
@@ -128,9 +128,9 @@
   // failure, to a read that starts at the first row.
   bool NeedsAnswer() const;
   // Whether an answer to the store request `sent` answers the current read.
-  bool AnswersRead(const StoreQuestions::Sent& sent,
+  bool AnswersRead(const StoreRequests::Sent& sent,
                    const TableAnswer& answer) const;
-  void LogLateAnswer(TimeUs now, const StoreQuestions::Sent& sent);
+  void LogLateAnswer(TimeUs now, const StoreRequests::Sent& sent);
   void OnStoreFailed(TimeUs now, TimeUs sent_at, const TableAnswer& answer);
   bool IsOpen() const { return read_.state == State::kOpen; }
   void OnStoreLostAtPeer(TimeUs now, const TableAnswer& answer);
@@ -153,7 +153,7 @@
   const AnswerFn on_answer_;
 
   TableRead read_;
-  StoreQuestions store_questions_;
+  StoreRequests store_requests_;
   RelayRequest relay_request_;
   RemoteClock store_clock_;
   std::uint64_t next_sequence_ = 0;
--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -97,14 +97,15 @@
     PeerNet net(n, n / 6);
     net.Run(kSecond);
     const auto period = static_cast<std::size_t>(
-        GatewayPeers::kBeat * static_cast<DurationUs>(n - 1) /
+        GatewayPeers::kGatewayHeartbeatPeriod * static_cast<DurationUs>(n - 1) /
         static_cast<DurationUs>(GatewayPeers::kMaxPeersAtFullRate));
     const std::size_t before = net.heartbeats_sent();
     net.Run(static_cast<DurationUs>(period));
     return (net.heartbeats_sent() - before) * kSecond / n / period;
   };
   constexpr std::size_t kBatchers = 3;
-  constexpr std::size_t kAtFullRate = kSecond / GatewayPeers::kBeat + 1;
+  constexpr std::size_t kAtFullRate =
+      kSecond / GatewayPeers::kGatewayHeartbeatPeriod + 1;
   const std::size_t max_received =
       kAtFullRate * (GatewayPeers::kMaxPeersAtFullRate + kBatchers);
   EXPECT_LE(received(103), max_received);
--- a/tests/gateway/peer_net.h
+++ b/tests/gateway/peer_net.h
@@ -85,34 +85,34 @@
   struct Datagram {
     std::size_t from = 0;
     std::size_t to = 0;
-    GatewayBeat beat;
+    GatewayHeartbeat heartbeat;
   };
 
   std::size_t IndexOf(const NodeId& name) const {
     return std::stoul(name.substr(1));
   }
 
-  void Send(std::size_t from, const DueBeat& due, bool asks) {
+  void Send(std::size_t from, const DueHeartbeat& due, bool requests_reply) {
     const std::size_t to = IndexOf(due.node);
     ++heartbeats_sent_;
     if (is_lost_ && is_lost_(from, to)) {
       return;
     }
-    GatewayBeat beat;
-    beat.cores = nodes_[from]->cores;
-    beat.period = due.promise;
-    beat.asks = asks;
-    in_flight_.push_back({from, to, beat});
+    GatewayHeartbeat heartbeat;
+    heartbeat.cores = nodes_[from]->cores;
+    heartbeat.period = due.promise;
+    heartbeat.requests_reply = requests_reply;
+    in_flight_.push_back({from, to, heartbeat});
   }
 
   void Tick(std::size_t n) {
     Node& node = *nodes_[n];
     node.lost += node.peers.TakeLost(now_).size();
     const DurationUs period = node.peers.Period(Batches(node));
-    for (const DueBeat& it : node.peers.DueBeats(now_, period)) {
+    for (const DueHeartbeat& it : node.peers.DueHeartbeats(now_, period)) {
       Send(n, it, false);
     }
-    for (const DueBeat& it : node.peers.DueQuestions(now_)) {
+    for (const DueHeartbeat& it : node.peers.DueProbes(now_)) {
       Send(n, it, true);
     }
   }
@@ -122,7 +122,8 @@
     in_flight_.clear();
     for (const Datagram& it : arrived) {
       if (nodes_[it.to]->alive) {
-        nodes_[it.to]->peers.OnBeat(now_, nodes_[it.from]->name, 1, it.beat);
+        nodes_[it.to]->peers.OnGatewayHeartbeat(now_, nodes_[it.from]->name, 1,
+                                                it.heartbeat);
       }
     }
   }
--- a/tests/gateway/shared_piece_desk_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -1,5 +1,5 @@
 // Tests gateways that batch for one another, and what happens when one is lost.
-#include "coordination/stages/shared_piece_desk.h"
+#include "coordination/stages/shared_piece_dispatcher.h"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,9 @@
 // Several gateways with the same replicas, whose messages arrive when `Deliver`
 // runs.
 struct DispatcherNet {
-  struct Node : SharedPieceDeskOutput, PieceBatcherOutput, DirectoryWatcher {
+  struct Node : SharedPieceDispatcherOutput,
+                PieceBatcherOutput,
+                DirectoryWatcher {
     Node(DispatcherNet* owner, const NodeId& node_name)
         : net(owner), name(node_name), peers({node_name, "", 1}, &log) {
       budget.SetLimits({0.2, 200, 10 * kSecond});
@@ -38,13 +40,13 @@
     }
     void StartCall(const PieceCall& call) override { calls.push_back(call); }
     void OnPiece(const PieceResult& result) override {
-      desk.OnLocalPiece(result);
+      dispatcher.OnLocalPiece(result);
     }
     bool ShortOfMemory(const std::vector<std::string>&) override {
       return true;
     }
     void OnInputsRead(const std::vector<std::string>& released) override {
-      desk.Free(released);
+      dispatcher.Free(released);
     }
     void FreeAt(const Address&,
                 const std::vector<std::string>& released) override {
@@ -52,26 +54,27 @@
     }
     void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
     void Handle(const NodeId& from, const Message& message, TimeUs now) {
-      if (const auto* it = std::get_if<PieceOrders>(&message)) {
-        desk.OnPeerOrders(now, from, *it);
-      } else if (const auto* drop = std::get_if<PieceDrop>(&message)) {
-        desk.OnPeerDrop(*drop);
-      } else if (const auto* free = std::get_if<PieceFree>(&message)) {
-        desk.OnPeerFree(*free);
+      if (const auto* it = std::get_if<PieceTasks>(&message)) {
+        dispatcher.OnPeerTasks(now, from, *it);
+      } else if (const auto* cancel = std::get_if<PieceCancel>(&message)) {
+        dispatcher.OnPeerCancel(*cancel);
+      } else if (const auto* release = std::get_if<PieceRelease>(&message)) {
+        dispatcher.OnPeerRelease(*release);
       } else if (const auto* results = std::get_if<PieceResults>(&message)) {
-        desk.OnPeerResults(*results);
+        dispatcher.OnPeerResults(*results);
       }
     }
 
     DispatcherNet* const net;
     const NodeId name;
     QuietLog log;
-    AttemptBudget budget;
+    ServiceRetryBudget budget;
     ReplicaDirectory directory{this};
     GatewayPeers peers;
-    LocalPieceDesk local{&directory, this,
-                         [this](const std::string&) { return &budget; }};
-    SharedPieceDesk desk{name, &peers, &local, &directory, this, &log};
+    LocalPieceDispatcher local{&directory, this,
+                               [this](const std::string&) { return &budget; }};
+    SharedPieceDispatcher dispatcher{name,       &peers, &local,
+                                     &directory, this,   &log};
     std::vector<PieceCall> calls;
     std::vector<PieceResult> received;
     std::vector<std::string> freed;
@@ -90,7 +93,7 @@
     for (auto& [name, node] : nodes) {
       for (auto& [other, unused] : nodes) {
         if (other != name) {
-          node->peers.OnBeat(now, other, 1, {});
+          node->peers.OnGatewayHeartbeat(now, other, 1, {});
         }
       }
     }
@@ -115,26 +118,26 @@
     now += time;
     for (auto& [name, node] : nodes) {
       node->local.OnTick(now);
-      node->desk.OnTick(now);
+      node->dispatcher.OnTick(now);
     }
     Deliver();
   }
   void CompleteCall(Node* node, std::size_t call) {
     PieceCallEnd end;
     end.kind = PieceCallEnd::Kind::kAnswered;
-    for (const PieceOrder& it : node->calls.at(call).pieces) {
+    for (const PieceTask& it : node->calls.at(call).pieces) {
       end.results.push_back({it.key, PieceOutcome::kMade,
                              "10.0.0.1:80/" + node->name + it.key.request});
     }
     node->local.OnCallEnd(now, "maker", node->calls.at(call).id, end);
   }
-  static PieceOrder Order(const std::string& request) {
-    PieceOrder order;
-    order.key = {request, 0, 0};
-    order.service = "maker";
-    order.time_left = 8 * kSecond;
-    order.time_to_begin = kSecond;
-    return order;
+  static PieceTask Task(const std::string& request) {
+    PieceTask task;
+    task.key = {request, 0, 0};
+    task.service = "maker";
+    task.time_left = 8 * kSecond;
+    task.time_to_begin = kSecond;
+    return task;
   }
 
   TimeUs now = 1000 * kSecond;
@@ -157,9 +160,9 @@
 TEST(SharedPieceDispatcherTest, BringsResultsToTheGatewayThatAsked) {
   DispatcherNet net(3);
   auto& owner = net.At(net.owner);
-  owner.desk.Submit(net.now, {DispatcherNet::Order("first")});
-  net.At(net.other).desk.Submit(net.now, {DispatcherNet::Order("r")});
-  owner.desk.Submit(net.now, {DispatcherNet::Order("s")});
+  owner.dispatcher.Submit(net.now, {DispatcherNet::Task("first")});
+  net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
+  owner.dispatcher.Submit(net.now, {DispatcherNet::Task("s")});
   net.Deliver();
   ASSERT_EQ(owner.calls.size(), 1U);
   net.CompleteCall(&owner, 0);
@@ -177,12 +180,12 @@
 // pieces are sent to the next one at once.
 TEST(SharedPieceDispatcherTest, ResubmitsPiecesWhenTheBatchingGatewayIsLost) {
   DispatcherNet net(3);
-  net.At(net.other).desk.Submit(net.now, {DispatcherNet::Order("r")});
+  net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
   net.lost.insert(net.owner);
   auto& requester = net.At(net.other);
   requester.peers.OnUnreachable(net.now, net.owner);
-  requester.desk.OnPeerLost(net.now, net.owner);
+  requester.dispatcher.OnPeerLost(net.now, net.owner);
   const NodeId next = requester.peers.OwnerOf("maker");
   ASSERT_NE(next, net.owner);
   net.Advance(10 * kMillisecond);
@@ -199,10 +202,10 @@
   DispatcherNet net(2);
   auto& requester = net.At(net.other);
   requester.peers.OnUnreachable(net.now, net.owner);
-  requester.peers.OnBeat(net.now + kMillisecond, net.owner, 1, {});
+  requester.peers.OnGatewayHeartbeat(net.now + kMillisecond, net.owner, 1, {});
   EXPECT_EQ(requester.peers.OwnerOf("maker"), net.other);
-  requester.peers.OnBeat(net.now + GatewayPeers::kUnreachableDuration,
-                         net.owner, 1, {});
+  requester.peers.OnGatewayHeartbeat(
+      net.now + GatewayPeers::kUnreachableDuration, net.owner, 1, {});
   EXPECT_EQ(requester.peers.OwnerOf("maker"), net.owner);
 }
 
@@ -211,16 +214,16 @@
 TEST(SharedPieceDispatcherTest, DoesNotWaitForASilentGatewayForEver) {
   DispatcherNet net(2);
   auto& requester = net.At(net.other);
-  requester.desk.Submit(net.now, {DispatcherNet::Order("r")});
+  requester.dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  net.now += SharedPieceDesk::kResultTimeout + kMillisecond;
+  net.now += SharedPieceDispatcher::kResultTimeout + kMillisecond;
   requester.peers.TakeLost(net.now);
-  requester.desk.OnTick(net.now);
+  requester.dispatcher.OnTick(net.now);
   requester.local.OnTick(net.now);
   ASSERT_EQ(requester.calls.size(), 1U);
   net.CompleteCall(&requester, 0);
   EXPECT_EQ(requester.received.size(), 1U);
-  requester.desk.OnPeerResults(
+  requester.dispatcher.OnPeerResults(
       {{{{"r", 0, 0}, PieceOutcome::kMade, "10.0.0.1:80/late"}}});
   requester.local.OnTick(net.now);
   EXPECT_EQ(requester.received.size(), 1U);
@@ -233,27 +236,28 @@
 TEST(SharedPieceDispatcherTest, WaitsAsLongAsTheReportedQueue) {
   DispatcherNet net(2);
   auto& requester = net.At(net.other);
-  PoolWait wait;
+  QueueWait wait;
   wait.late = 3 * kSecond;
-  requester.desk.OnPeerWaits({{DispatcherNet::Order("r").service, wait}});
-  requester.desk.Submit(net.now, {DispatcherNet::Order("r")});
+  requester.dispatcher.OnPeerQueueWaits(
+      {{DispatcherNet::Task("r").service, wait}});
+  requester.dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
   requester.log.events.clear();
-  net.now += SharedPieceDesk::kResultTimeout + kSecond;
-  requester.desk.OnTick(net.now);
+  net.now += SharedPieceDispatcher::kResultTimeout + kSecond;
+  requester.dispatcher.OnTick(net.now);
   EXPECT_FALSE(requester.log.Saw("pieces_again"));
   net.now += 2 * kSecond + kMillisecond;
-  requester.desk.OnTick(net.now);
+  requester.dispatcher.OnTick(net.now);
   EXPECT_TRUE(requester.log.Saw("pieces_again"));
 }
 
 TEST(SharedPieceDispatcherTest, CancelsPiecesOfAnEndedRequest) {
   DispatcherNet net(2);
-  net.At(net.other).desk.Submit(net.now, {DispatcherNet::Order("r")});
+  net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  net.At(net.other).desk.Drop("r");
+  net.At(net.other).dispatcher.Drop("r");
   net.Deliver();
-  EXPECT_TRUE(net.At(net.owner).desk.ServesNobody());
+  EXPECT_TRUE(net.At(net.owner).dispatcher.ServesNobody());
   EXPECT_TRUE(net.At(net.owner).local.Idle() ||
               net.At(net.owner).calls.size() == 1);
 }
@@ -262,21 +266,21 @@
 TEST(SharedPieceDispatcherTest, ForgetsTheRequestsOfALostGateway) {
   DispatcherNet net(2);
   auto& owner = net.At(net.owner);
-  net.At(net.other).desk.Submit(net.now, {DispatcherNet::Order("r")});
+  net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  owner.desk.OnPeerLost(net.now, net.other);
-  EXPECT_TRUE(owner.desk.ServesNobody());
+  owner.dispatcher.OnPeerLost(net.now, net.other);
+  EXPECT_TRUE(owner.dispatcher.ServesNobody());
 }
 
 TEST(GatewayPeersTest, TakesASilentOrRestartedGatewayForLost) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
-  peers.OnBeat(now, "a", 1, {});
-  peers.OnBeat(now, "b", 1, {});
+  peers.OnGatewayHeartbeat(now, "a", 1, {});
+  peers.OnGatewayHeartbeat(now, "b", 1, {});
   EXPECT_EQ(peers.Live(), 3U);
   EXPECT_TRUE(peers.TakeLost(now + GatewayPeers::kPeerTimeout).empty());
-  peers.OnBeat(now + GatewayPeers::kPeerTimeout, "b", 2, {});
+  peers.OnGatewayHeartbeat(now + GatewayPeers::kPeerTimeout, "b", 2, {});
   EXPECT_EQ(peers.TakeLost(now + GatewayPeers::kPeerTimeout + 1),
             (std::vector<NodeId>{"a", "b"}));
   EXPECT_EQ(peers.Live(), 2U);
@@ -289,14 +293,14 @@
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
   peers.OnTick(now);
-  peers.OnBeat(now, "a", 1, {});
-  peers.OnBeat(now, "b", 1, {});
+  peers.OnGatewayHeartbeat(now, "a", 1, {});
+  peers.OnGatewayHeartbeat(now, "b", 1, {});
   now += 10 * kSecond;
   peers.OnTick(now);
   EXPECT_TRUE(peers.TakeLost(now).empty());
   EXPECT_TRUE(log.Saw("suspended"));
   // One of them died during the suspension.
-  peers.OnBeat(now + kSecond / 10, "a", 1, {});
+  peers.OnGatewayHeartbeat(now + kSecond / 10, "a", 1, {});
   std::vector<NodeId> lost;
   const TimeUs resumed = now;
   for (; lost.empty() && now < resumed + kSecond; now += 30 * kMillisecond) {
@@ -316,7 +320,7 @@
   TimeUs now = 100 * kSecond;
   peers.OnTick(now);
   now += 10 * kSecond;
-  peers.OnBeat(now, "a", 1, {});
+  peers.OnGatewayHeartbeat(now, "a", 1, {});
   peers.OnTick(now);
   now += GatewayPeers::kPeerTimeout + 1;
   EXPECT_EQ(peers.TakeLost(now), std::vector<NodeId>{"a"});
@@ -329,7 +333,7 @@
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
   peers.OnTick(now);
-  peers.OnBeat(now, "a", 1, {});
+  peers.OnGatewayHeartbeat(now, "a", 1, {});
   std::vector<NodeId> lost;
   for (int n = 0; n < 10 && lost.empty(); ++n) {
     now += 2 * GatewayPeers::kMaxTickInterval;
@@ -346,31 +350,33 @@
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
   for (int n = 0; n < 6; ++n) {
-    peers.OnBeat(now, "p" + std::to_string(n), 1, {});
+    peers.OnGatewayHeartbeat(now, "p" + std::to_string(n), 1, {});
   }
-  EXPECT_EQ(peers.Period(false), GatewayPeers::kBeat);
+  EXPECT_EQ(peers.Period(false), GatewayPeers::kGatewayHeartbeatPeriod);
   for (int n = 6; n < 30; ++n) {
-    peers.OnBeat(now, "p" + std::to_string(n), 1, {});
+    peers.OnGatewayHeartbeat(now, "p" + std::to_string(n), 1, {});
   }
-  EXPECT_EQ(peers.Period(true), GatewayPeers::kBeat);
+  EXPECT_EQ(peers.Period(true), GatewayPeers::kGatewayHeartbeatPeriod);
   const DurationUs slow = peers.Period(false);
-  EXPECT_EQ(slow, 5 * GatewayPeers::kBeat);
-  EXPECT_EQ(peers.DueBeats(now, slow).size(), 30U);
-  EXPECT_TRUE(peers.DueBeats(now + slow - 1, slow).empty());
+  EXPECT_EQ(slow, 5 * GatewayPeers::kGatewayHeartbeatPeriod);
+  EXPECT_EQ(peers.DueHeartbeats(now, slow).size(), 30U);
+  EXPECT_TRUE(peers.DueHeartbeats(now + slow - 1, slow).empty());
   // A gateway that begins to batch sends heartbeats with the shorter period at
   // once.
-  EXPECT_EQ(
-      peers.DueBeats(now + GatewayPeers::kBeat, GatewayPeers::kBeat).size(),
-      30U);
+  EXPECT_EQ(peers
+                .DueHeartbeats(now + GatewayPeers::kGatewayHeartbeatPeriod,
+                               GatewayPeers::kGatewayHeartbeatPeriod)
+                .size(),
+            30U);
 }
 
 TEST(GatewayPeersTest, WaitsLongerForPeersWithLongerPeriods) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
-  GatewayBeat slow;
-  slow.period = 5 * GatewayPeers::kBeat;
-  peers.OnBeat(now, "slow", 1, slow);
+  GatewayHeartbeat slow;
+  slow.period = 5 * GatewayPeers::kGatewayHeartbeatPeriod;
+  peers.OnGatewayHeartbeat(now, "slow", 1, slow);
   EXPECT_TRUE(peers.TakeLost(now + 4 * GatewayPeers::kPeerTimeout).empty());
   EXPECT_EQ(peers.TakeLost(now + 6 * GatewayPeers::kPeerTimeout).size(), 1U);
 }
@@ -378,13 +384,13 @@
 TEST(GatewayPeersTest, KnowsWhetherAnotherMayCheckKeys) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
-  EXPECT_FALSE(peers.AnotherIsCurrent());
-  GatewayBeat beat;
-  beat.current = true;
-  peers.OnBeat(0, "a", 1, beat);
-  EXPECT_TRUE(peers.AnotherIsCurrent());
+  EXPECT_FALSE(peers.AnyPeerCanCheckKeys());
+  GatewayHeartbeat heartbeat;
+  heartbeat.can_check_keys = true;
+  peers.OnGatewayHeartbeat(0, "a", 1, heartbeat);
+  EXPECT_TRUE(peers.AnyPeerCanCheckKeys());
   peers.TakeLost(kSecond);
-  EXPECT_FALSE(peers.AnotherIsCurrent());
+  EXPECT_FALSE(peers.AnyPeerCanCheckKeys());
 }
 
 // The batching gateway is cached between requests. A change of the live
@@ -393,19 +399,19 @@
   QuietLog log;
   GatewayPeers peers({"self", "", 0.01}, &log);
   EXPECT_EQ(peers.OwnerOf("s"), "self");
-  GatewayBeat large;
+  GatewayHeartbeat large;
   large.cores = 100;
-  peers.OnBeat(0, "large", 1, large);
+  peers.OnGatewayHeartbeat(0, "large", 1, large);
   EXPECT_EQ(peers.OwnerOf("s"), "large");
   peers.OnUnreachable(kSecond, "large");
   EXPECT_EQ(peers.OwnerOf("s"), "self");
-  peers.OnBeat(2 * kSecond, "large", 1, large);
+  peers.OnGatewayHeartbeat(2 * kSecond, "large", 1, large);
   EXPECT_EQ(peers.OwnerOf("s"), "large");
   large.leaving = true;
-  peers.OnBeat(2 * kSecond, "large", 1, large);
+  peers.OnGatewayHeartbeat(2 * kSecond, "large", 1, large);
   EXPECT_EQ(peers.OwnerOf("s"), "self");
   large.leaving = false;
-  peers.OnBeat(2 * kSecond, "large", 1, large);
+  peers.OnGatewayHeartbeat(2 * kSecond, "large", 1, large);
   EXPECT_EQ(peers.OwnerOf("s"), "large");
   peers.TakeLost(10 * kSecond);
   EXPECT_EQ(peers.OwnerOf("s"), "self");
@@ -417,24 +423,24 @@
 TEST(GatewayPeersTest, LeavesBatchingToLargeHosts) {
   QuietLog log;
   GatewayPeers peers({"small-0", "", 0.09}, &log);
-  const auto beat = [&](const NodeId& node, double cores, bool leaving) {
-    GatewayBeat it;
+  const auto heartbeat = [&](const NodeId& node, double cores, bool leaving) {
+    GatewayHeartbeat it;
     it.cores = cores;
     it.leaving = leaving;
-    peers.OnBeat(1, node, 1, it);
+    peers.OnGatewayHeartbeat(1, node, 1, it);
   };
   for (int n = 1; n < 15; ++n) {
-    beat("small-" + std::to_string(n), 0.09, false);
+    heartbeat("small-" + std::to_string(n), 0.09, false);
   }
   for (int n = 0; n < 8; ++n) {
-    beat("large-" + std::to_string(n), 0.5, false);
+    heartbeat("large-" + std::to_string(n), 0.5, false);
   }
   for (int n = 0; n < 1000; ++n) {
     const NodeId& owner = peers.OwnerOf("service-" + std::to_string(n));
     EXPECT_EQ(owner.substr(0, 5), "large") << n;
   }
   for (int n = 0; n < 8; ++n) {
-    beat("large-" + std::to_string(n), 0.5, true);
+    heartbeat("large-" + std::to_string(n), 0.5, true);
   }
   EXPECT_EQ(peers.OwnerOf("service-1").substr(0, 5), "small");
 }
@@ -443,9 +449,9 @@
 TEST(GatewayPeersTest, GivesALeavingGatewayNoNewWork) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
-  GatewayBeat leaving;
+  GatewayHeartbeat leaving;
   leaving.leaving = true;
-  peers.OnBeat(0, "a", 1, leaving);
+  peers.OnGatewayHeartbeat(0, "a", 1, leaving);
   for (int n = 0; n < 50; ++n) {
     EXPECT_EQ(peers.OwnerOf("s" + std::to_string(n)), "self");
   }
--- a/tests/gateway/store_questions_test.cc
+++ b/tests/gateway/store_requests_test.cc
@@ -1,5 +1,5 @@
 // Tests requests to the store that are in flight at the same time.
-#include "coordination/tables/store_questions.h"
+#include "coordination/tables/store_requests.h"
 
 #include <gtest/gtest.h>
 
@@ -9,15 +9,15 @@
 namespace {
 
 struct StoreRig : StoreReader {
-  void Ask(const StoreQuestion& question) override {
-    open_ids.push_back(question.id);
+  void Ask(const StoreRequest& request) override {
+    open_ids.push_back(request.id);
   }
   void Forget(const std::string&, std::uint64_t id) override {
     std::erase(open_ids, id);
   }
 
   std::vector<std::uint64_t> open_ids;
-  StoreQuestions requests{"t", this};
+  StoreRequests requests{"t", this};
 };
 
 // A slow store answers the oldest request first, and a request that was lost
@@ -26,7 +26,7 @@
   StoreRig rig;
   for (int n = 0; n < 10; ++n) {
     rig.requests.Ask(n * kSecond, {false, "", 5, 0});
-    EXPECT_LE(rig.open_ids.size(), StoreQuestions::kMaxInFlight);
+    EXPECT_LE(rig.open_ids.size(), StoreRequests::kMaxInFlight);
   }
   EXPECT_EQ(rig.open_ids, (std::vector<std::uint64_t>{1, 9, 10}));
   EXPECT_TRUE(rig.requests.Take(1));
--- a/tests/gateway/table_net.h
+++ b/tests/gateway/table_net.h
@@ -44,7 +44,7 @@
 
   struct Call {
     std::size_t from = 0;
-    StoreQuestion question;
+    StoreRequest request;
     TimeUs sent_at = 0;
     bool unanswered = false;  // Not answered before its time limit.
   };
@@ -81,12 +81,12 @@
                                            &random, &log);
     }
 
-    void Ask(const StoreQuestion& question) override {
-      net->OnCall({index, question, net->now_, false});
+    void Ask(const StoreRequest& request) override {
+      net->OnCall({index, request, net->now_, false});
     }
     void Forget(const std::string&, std::uint64_t id) override {
       std::erase_if(net->open_calls_, [&](const Call& it) {
-        return it.from == index && it.question.id == id;
+        return it.from == index && it.request.id == id;
       });
     }
     void SendToPeer(const NodeId& peer, const Message& message) override {
@@ -298,7 +298,7 @@
 
   void OnCall(Call call) {
     ++calls_;
-    complete_reads_ += call.question.query.whole ? 1 : 0;
+    complete_reads_ += call.request.query.whole ? 1 : 0;
     call.unanswered =
         nodes_[call.from]->store_behavior == StoreBehavior::kNoAnswer;
     open_calls_.push_back(call);
@@ -308,7 +308,7 @@
   }
 
   bool IsExpired(const Call& call) const {
-    return now_ >= call.sent_at + call.question.heard_for;
+    return now_ >= call.sent_at + call.request.heard_for;
   }
 
   TableAnswer AnswerOf(const Call& call) const {
@@ -319,7 +319,7 @@
       answer.why = "the store does not answer";
       return answer;
     }
-    const TableQuery& query = call.question.query;
+    const TableQuery& query = call.request.query;
     if (!query.whole && query.after < history_from_) {
       answer.kind = TableAnswer::Kind::kHistoryGone;
       return answer;
@@ -336,7 +336,7 @@
   }
 
   bool IsDue(const Call& call) const {
-    const TableQuery& query = call.question.query;
+    const TableQuery& query = call.request.query;
     if (call.unanswered || IsExpired(call)) {
       return IsExpired(call);
     }
@@ -355,8 +355,7 @@
     std::erase_if(open_calls_,
                   [&](const Call& it) { return Runs(it.from) && IsDue(it); });
     for (const Call& it : due) {
-      nodes_[it.from]->source->OnStoreAnswer(now_, it.question.id,
-                                             AnswerOf(it));
+      nodes_[it.from]->source->OnStoreAnswer(now_, it.request.id, AnswerOf(it));
     }
   }
 
@@ -374,8 +373,8 @@
   }
   void Handle(const InFlightMessage& it) {
     Node& to = *nodes_[it.to];
-    if (const auto* question = std::get_if<TableQuestion>(&it.message)) {
-      to.relay->OnQuestion(now_, nodes_[it.from]->name, *question);
+    if (const auto* request = std::get_if<TableRequest>(&it.message)) {
+      to.relay->OnTableRequest(now_, nodes_[it.from]->name, *request);
     } else if (const auto* reply = std::get_if<TableReply>(&it.message)) {
       complete_replies_ += reply->answer.rows.size() == rows_.size() ? 1 : 0;
       to.source->OnReply(now_, nodes_[it.from]->name, *reply);
@@ -393,10 +392,11 @@
             (partition_ && partition_(from->index, to->index))) {
           continue;
         }
-        GatewayBeat beat;
-        beat.cores = from->cores;
-        beat.domain = from->domain;
-        to->peers->OnBeat(now_, from->name, from->incarnation, beat);
+        GatewayHeartbeat heartbeat;
+        heartbeat.cores = from->cores;
+        heartbeat.domain = from->domain;
+        to->peers->OnGatewayHeartbeat(now_, from->name, from->incarnation,
+                                      heartbeat);
       }
     }
   }
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -21,13 +21,13 @@
 struct SourceRig : StoreReader, TableRelayOutput {
   SourceRig() {
     for (const char* it : {"a", "b", "c"}) {
-      GatewayBeat beat;
-      beat.cores = 1;
-      beat.domain = *it == 'a' ? "own" : it;
-      peers.OnBeat(now, it, 1, beat);
+      GatewayHeartbeat heartbeat;
+      heartbeat.cores = 1;
+      heartbeat.domain = *it == 'a' ? "own" : it;
+      peers.OnGatewayHeartbeat(now, it, 1, heartbeat);
     }
   }
-  void Ask(const StoreQuestion& request) override {
+  void Ask(const StoreRequest& request) override {
     ++store_request_count;
     store_requests.push_back(request);
   }
@@ -39,7 +39,7 @@
   }
   void SendToPeer(const NodeId& peer, const Message& message) override {
     asked_peers.push_back(peer);
-    last_request = std::get<TableQuestion>(message);
+    last_request = std::get<TableRequest>(message);
   }
   void Reply(const TableAnswer& answer) {
     source.OnReply(now, asked_peers.back(),
@@ -74,9 +74,9 @@
   Metrics metrics;
   GatewayPeers peers{{"self", "own", 0.1}, &log};
   std::vector<NodeId> asked_peers;
-  TableQuestion last_request;
+  TableRequest last_request;
   int store_request_count = 0;
-  std::vector<StoreQuestion> store_requests;
+  std::vector<StoreRequest> store_requests;
   std::vector<std::uint64_t> cancelled;
   std::vector<TableAnswer> answers;
   const FreshnessPlan plan = Plan();
@@ -283,9 +283,9 @@
   SourceRig rig;
   rig.ReceiveTable(5);
   for (const char* it : {"a", "b", "c"}) {
-    GatewayBeat beat;
-    beat.leaving = true;
-    rig.peers.OnBeat(rig.now, it, 1, beat);
+    GatewayHeartbeat heartbeat;
+    heartbeat.leaving = true;
+    rig.peers.OnGatewayHeartbeat(rig.now, it, 1, heartbeat);
   }
   rig.source.ReadChanges(rig.now, "t", 5, 2 * kMaxTableAge);
   ASSERT_EQ(rig.store_request_count, 1);
