--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -89,8 +89,8 @@
   EXPECT_EQ(rig.directory.ProducerOf("10.0.0.2:80/x"), nullptr);
 }
 
-// A replica that left is stopped, repaired and started again under its name.
-// It takes work again; what was known of the life before ends.
+// A replica that left is stopped, repaired and started again under its name. It
+// takes work again; what was known of the previous incarnation ends.
 TEST(ReplicaDirectoryTest, GivesWorkToAReplicaThatLeftAndStartedAgain) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -113,7 +113,7 @@
   rig.directory.Remove(0, "r");
   rig.directory.Put(DirectoryRig::Entry({"r", 5}));
   EXPECT_TRUE(rig.directory.Of("s").empty());
-  // The same life is listed again after an outage of the store.
+  // The same incarnation is listed again after an outage of the store.
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
   EXPECT_TRUE(rig.directory.TakesWork({"r", 6}));
 }
@@ -175,7 +175,7 @@
   EXPECT_EQ(rig.changes.back(), "r added");
 }
 
-// A result's maker is found by its address. An entry by another writer that
+// A result's producer is found by its address. An entry by another writer that
 // names the same address does not take it over.
 TEST(ReplicaDirectoryTest, FindsTheProducerAmongEntriesOfOneAddress) {
   DirectoryRig rig;
