--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -44,7 +44,7 @@
 
 // Some heartbeats are lost. Probes show that their senders are alive: among the
 // six million heartbeats of a minute no gateway is taken for dead.
-TEST(PeerFleetTest, LostHeartbeatsCauseNoLostGateways) {
+TEST(PeerFleetTest, LostHeartbeatsAreNoLostGateways) {
   Random random(7);
   PeerNet net(103, 18);
   net.SetLoss(LoseOneInThirty(&random));
@@ -90,7 +90,7 @@
 
 // A fleet of 380 gateways causes no more datagrams per second at a host with a
 // tenth of a core than one of 30.
-TEST(PeerFleetTest, HeartbeatsPerHostDoNotGrowWithTheFleet) {
+TEST(PeerFleetTest, HeartbeatsAHostReceivesDoNotGrowWithTheFleet) {
   // Mean per second over a full heartbeat period of the gateways that do not
   // batch.
   const auto received = [](std::size_t n) {
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -187,7 +187,7 @@
 
 // Results are not released for a while. No more pieces start than the replica
 // has memory for, and the others start once results are released.
-TEST(PieceBatcherTest, StartsNoMoreThanMemoryAllows) {
+TEST(PieceBatcherTest, BeginsNoMoreThanThereIsMemoryFor) {
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 8; ++n) {
--- a/tests/gateway/shared_piece_dispatcher_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -314,7 +314,7 @@
 // Guards against a heartbeat that is read before the first tick after a
 // suspension and then counts as if it had arrived later by the duration of the
 // suspension.
-TEST(GatewayPeersTest, AHeartbeatReadAfterASuspensionCountsFromThen) {
+TEST(GatewayPeersTest, AHeartbeatReadAfterASuspensionIsOfThatMoment) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
@@ -345,7 +345,7 @@
 
 // 30 gateways send heartbeats to all others. Those that do not batch send
 // fewer, and have a proportionally longer time limit before they count as lost.
-TEST(GatewayPeersTest, SendsFewerHeartbeatsAmongMany) {
+TEST(GatewayPeersTest, SendsHeartbeatsLessOftenAmongMany) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
@@ -370,7 +370,7 @@
             30U);
 }
 
-TEST(GatewayPeersTest, WaitsLongerForPeersWithLongerPeriods) {
+TEST(GatewayPeersTest, WaitsLongerForThoseWithALongerHeartbeatPeriod) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
--- a/tests/gateway/store_requests_test.cc
+++ b/tests/gateway/store_requests_test.cc
@@ -53,7 +53,7 @@
 }
 
 // The time limit starts after the time for which the store holds the request.
-TEST(StoreRequestsTest, TheHoldTimeExtendsTheTimeLimit) {
+TEST(StoreRequestsTest, ARequestThatIsHeldHasItsWaitOnTop) {
   StoreRig rig;
   rig.requests.Ask(0, {false, "", 5, kSecond});
   EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond, kSecond));
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -130,7 +130,7 @@
 
 // Ignores an answer to an earlier request, and one from a gateway that was not
 // asked.
-TEST(TableSourceTest, IgnoresAnswersToOtherRequests) {
+TEST(TableSourceTest, PassesOverAnswersToOtherRequests) {
   SourceRig rig;
   rig.ReceiveTable(5);
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
