--- a/src/coordination/membership/gateway_peers.cc
+++ b/src/coordination/membership/gateway_peers.cc
@@ -122,8 +122,8 @@
   return lost;
 }
 
-DurationUs GatewayPeers::Period(bool batches) const {
-  const std::size_t peers = Live() - 1;
+DurationUs GatewayPeers::HeartbeatPeriod(bool batches) const {
+  const std::size_t peers = LiveCount() - 1;
   if (batches || leaving_ || peers <= kMaxPeersAtFullRate) {
     return kGatewayHeartbeatPeriod;
   }
@@ -235,7 +235,7 @@
   return *relay_plan_;
 }
 
-std::size_t GatewayPeers::Live() const {
+std::size_t GatewayPeers::LiveCount() const {
   const auto count =
       std::count_if(peers_.begin(), peers_.end(),
                     [](const auto& it) { return it.second.live; });
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -107,7 +107,7 @@
   std::vector<NodeId> TakeLost(TimeUs now);
   // The heartbeat period of this gateway; `batches` says whether others send it
   // pieces.
-  DurationUs Period(bool batches) const;
+  DurationUs HeartbeatPeriod(bool batches) const;
   // Returns the gateways to which a heartbeat is due now. A longer period is
   // announced in a heartbeat that is sent as early as the previous one
   // promised.
@@ -127,7 +127,7 @@
   // The gateway that batches the service's pieces; this one if it is alone.
   const NodeId& OwnerOf(const std::string& service) const;
   // Number of live gateways, including this one.
-  std::size_t Live() const;
+  std::size_t LiveCount() const;
   bool IsLive(const NodeId& node) const;
   // The gateways to ask for the store's tables.
   const RelayPlan& relay_plan() const;
--- a/src/coordination/membership/membership.cc
+++ b/src/coordination/membership/membership.cc
@@ -93,7 +93,7 @@
   while (member.pending_probes.begin()->second + kMaxProbePeriod < now) {
     member.pending_probes.erase(member.pending_probes.begin());
   }
-  output_->AskSidecar(sidecar, sequence);
+  output_->ProbeSidecar(sidecar, sequence);
 }
 
 void Membership::RequestHelp(TimeUs now, const NodeId& sidecar) {
@@ -176,7 +176,7 @@
   }
   const std::uint64_t sequence = next_sequence_++;
   help_requests_[sequence] = {entry, query.sidecar, sequence, now};
-  output_->AskSidecar(query.sidecar, sequence);
+  output_->ProbeSidecar(query.sidecar, sequence);
 }
 
 void Membership::OnReachReport(TimeUs now, const ReachReport& report) {
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -39,7 +39,7 @@
 class MembershipOutput {
  public:
   virtual ~MembershipOutput() = default;
-  virtual void AskSidecar(const NodeId& sidecar, std::uint64_t sequence) = 0;
+  virtual void ProbeSidecar(const NodeId& sidecar, std::uint64_t sequence) = 0;
   virtual void SendToEntry(const NodeId& entry, const Message& message) = 0;
   // The effective state of `sidecar` changed.
   virtual void OnMemberState(const NodeId& sidecar, NodeState state) = 0;
--- a/src/coordination/stages/shared_piece_dispatcher.h
+++ b/src/coordination/stages/shared_piece_dispatcher.h
@@ -74,7 +74,7 @@
   // local call ends, so that no stage waits for the next tick.
   void SendResults();
   // Whether no piece of another gateway's request is in progress here.
-  bool ServesNobody() const { return requesters_.empty(); }
+  bool HasNoPeerRequests() const { return requesters_.empty(); }
 
  private:
   // A piece of a request of this gateway that has no result yet.
--- a/src/coordination/tables/freshness_plan.cc
+++ b/src/coordination/tables/freshness_plan.cc
@@ -34,14 +34,14 @@
   plan.store_request_age = ShareOf(bound, kStoreRequestAgeShare);
   plan.store_answer_time =
       ShareOf(std::min(bound, recovery_bound), kStoreAnswerTimeShare);
-  plan.act = ShareOf(bound, kDispatchTimeShare);
+  plan.dispatch_time = ShareOf(bound, kDispatchTimeShare);
   plan.store_timeout = ShareOf(recovery_bound, kStoreTimeoutShare);
   plan.store_retry_period = ShareOf(recovery_bound, kStoreRetryPeriodShare);
   plan.max_retry_delay =
       std::min(kMaxRetryDelay, ShareOf(recovery_bound, kRetryDelayShare));
   plan.settle_delay =
       std::min(kMaxSettleDelay, ShareOf(bound, kSettleDelayShare));
-  plan.store_wait =
+  plan.store_hold_time =
       std::min(kMaxStoreHoldTime, plan.store_request_age - plan.settle_delay -
                                       ShareOf(bound, kRelayTransferShare));
   return plan;
--- a/src/coordination/tables/freshness_plan.h
+++ b/src/coordination/tables/freshness_plan.h
@@ -25,7 +25,7 @@
   // Time within which a working store answers a host that can reach it.
   DurationUs store_answer_time = 0;
   // Time from the choice of a replica until it has received the request.
-  DurationUs act = 0;
+  DurationUs dispatch_time = 0;
   // Time limit of a store request, in addition to the time for which the store
   // was asked to hold it; larger than `store_answer_time`. Later answers are
   // still used.
@@ -38,17 +38,18 @@
 
   // How long the store holds a request while there are no changes. With this
   // hold time, gateways that work keep all ages below `store_request_age`.
-  DurationUs store_wait = 0;
+  DurationUs store_hold_time = 0;
   // Delay of the next request after a change, so that rows that change together
   // arrive in one answer.
   DurationUs settle_delay = 0;
 
   // Share of `dispatch_time` for connecting.
-  DurationUs Connect() const { return act / 2; }
+  DurationUs Connect() const { return dispatch_time / 2; }
   // Longest time from the store's acknowledgement of a change until a gateway
   // that reaches the store no longer acts on the state before it.
   DurationUs WorstCaseStaleness() const {
-    return store_request_age + kAgeCheckPeriod + store_answer_time + act;
+    return store_request_age + kAgeCheckPeriod + store_answer_time +
+           dispatch_time;
   }
   // Longest time from when a gateway can reach the store again until it has the
   // store's current state.
@@ -58,7 +59,7 @@
 };
 
 // Smallest bound for which a plan exists.
-inline constexpr DurationUs kLeastFreshnessBound = 200 * kMillisecond;
+inline constexpr DurationUs kMinFreshnessBound = 200 * kMillisecond;
 
 // Returns a plan with `WorstCaseStaleness` below `bound` and `RecoveryTime`
 // below `recovery_bound`, the time after which a host that can reach the store
--- a/src/coordination/tables/store_requests.cc
+++ b/src/coordination/tables/store_requests.cc
@@ -16,9 +16,9 @@
     store_->Forget(table_, requests_[1].id);
     requests_.erase(requests_.begin() + 1);
   }
-  const DurationUs heard_for = query.wait + kAnswerAcceptTimeout;
+  const DurationUs answer_timeout = query.wait + kAnswerAcceptTimeout;
   requests_.push_back({next_id_++, query, now, true});
-  store_->Ask({table_, requests_.back().id, std::move(query), heard_for});
+  store_->Ask({table_, requests_.back().id, std::move(query), answer_timeout});
 }
 
 std::optional<StoreRequests::Sent> StoreRequests::Take(std::uint64_t id) {
--- a/src/coordination/tables/store_requests.h
+++ b/src/coordination/tables/store_requests.h
@@ -33,7 +33,7 @@
   std::uint64_t id = 0;  // Unique for the table.
   TableQuery query;
   // Time limit for the answer, counted from when the request is sent.
-  DurationUs heard_for = 0;
+  DurationUs answer_timeout = 0;
 };
 
 class StoreReader {
--- a/src/coordination/tables/table_watch.cc
+++ b/src/coordination/tables/table_watch.cc
@@ -32,7 +32,7 @@
     // With the usual hold time it came two seconds late, and meanwhile requests
     // were refused because their keys could not be checked.
     reader_->ReadChanges(now, table_, version_,
-                         failures_ > 0 ? 0 : plan_->store_wait);
+                         failures_ > 0 ? 0 : plan_->store_hold_time);
     return;
   }
   // The first key after the last one read: a zero byte is the smallest suffix.
--- a/src/daemon/entry_node.cc
+++ b/src/daemon/entry_node.cc
@@ -148,7 +148,7 @@
   }
 
   // MembershipOutput:
-  void AskSidecar(const NodeId& sidecar, std::uint64_t sequence) override;
+  void ProbeSidecar(const NodeId& sidecar, std::uint64_t sequence) override;
   void SendToEntry(const NodeId& peer, const Message& message) override {
     mesh.SendDatagram(peer, message);
   }
@@ -467,8 +467,8 @@
   }
 }
 
-void EntryNode::Impl::AskSidecar(const NodeId& sidecar,
-                                 std::uint64_t sequence) {
+void EntryNode::Impl::ProbeSidecar(const NodeId& sidecar,
+                                   std::uint64_t sequence) {
   Heartbeat heartbeat;
   heartbeat.role = Role::kEntry;
   heartbeat.state = draining ? NodeState::kLeaving : NodeState::kReady;
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -53,8 +53,8 @@
       PlanFreshness(std::min({bounds.config_apply, bounds.evacuation,
                               settings.key_revocation}),
                     bounds.contact);
-  plan.store_wait = std::min(
-      plan.store_wait,
+  plan.store_hold_time = std::min(
+      plan.store_hold_time,
       static_cast<DurationUs>(kConfigurationWaitShare *
                               static_cast<double>(settings.key_revocation)));
   return plan;
@@ -142,7 +142,8 @@
   configuration.plan = PlanConfiguration(settings);
   replicas.plan = PlanReplicas(settings);
   // What was chosen last must be there when this host counts as in touch.
-  directory.SetMostKept(settings.freshness.contact - replicas.plan.act);
+  directory.SetMostKept(settings.freshness.contact -
+                        replicas.plan.dispatch_time);
   pieces.SetMostConnect(replicas.plan.Connect());
 }
 
@@ -204,7 +205,7 @@
     gateway->RefuseAll();
   }
   const bool idle = since >= kLeastDrain && gateway->in_progress() == 0 &&
-                    clients.exchanges() == 0 && dispatcher.ServesNobody();
+                    clients.exchanges() == 0 && dispatcher.HasNoPeerRequests();
   if (!idle && since < settings.grace - kExitReserve) {
     return;
   }
--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -30,7 +30,7 @@
     dispatcher.OnPeerLost(now, peer);
   }
   TellKnownGateways(now);
-  gateway->SetGatewayCount(peers.Live());
+  gateway->SetGatewayCount(peers.LiveCount());
   gateway->SetPeerCanCheckKeys(peers.AnyPeerCanCheckKeys());
   if (mesh == nullptr) {
     return;
@@ -51,7 +51,7 @@
 }
 
 void GatewayNode::Impl::SendHeartbeats(TimeUs now) {
-  const DurationUs period = peers.Period(dispatcher.Batches());
+  const DurationUs period = peers.HeartbeatPeriod(dispatcher.Batches());
   const std::vector<DueHeartbeat> due = peers.DueHeartbeats(now, period);
   const std::vector<DueHeartbeat> probes = peers.DueProbes(now);
   if (due.empty() && probes.empty()) {
--- a/tests/gateway/freshness_test.cc
+++ b/tests/gateway/freshness_test.cc
@@ -161,7 +161,8 @@
     net.Run(n * bound / kRounds);
     const std::string replica = "replica-" + std::to_string(n);
     net.Remove(replica);
-    EXPECT_LE(TimeUntilNoneChooses(&net, replica), bound - plan.act) << n;
+    EXPECT_LE(TimeUntilNoneChooses(&net, replica), bound - plan.dispatch_time)
+        << n;
     ClearFault(&net, relay);
     net.Run(TableNet::kRecoveryBound + n * bound / 70);
   }
@@ -171,7 +172,7 @@
 INSTANTIATE_TEST_SUITE_P(
     AllBounds,
     FreshnessBoundTest,
-    ::testing::Combine(::testing::Values(kLeastFreshnessBound,
+    ::testing::Combine(::testing::Values(kMinFreshnessBound,
                                          500 * kMillisecond,
                                          kSecond,
                                          2 * kSecond,
@@ -219,7 +220,7 @@
 
 INSTANTIATE_TEST_SUITE_P(AllContacts,
                          FreshnessContactTest,
-                         ::testing::Values(kLeastFreshnessBound,
+                         ::testing::Values(kMinFreshnessBound,
                                            500 * kMillisecond,
                                            kSecond,
                                            3 * kSecond,
@@ -251,8 +252,8 @@
 // The sum of all time limits stays within the bounds, for any values of the
 // bounds.
 RC_GTEST_PROP(FreshnessPlanTest, WaitsAddUpToLessThanTheBound, ()) {
-  const auto ms = rc::gen::inRange<DurationUs>(
-      kLeastFreshnessBound / kMillisecond, 100'000);
+  const auto ms =
+      rc::gen::inRange<DurationUs>(kMinFreshnessBound / kMillisecond, 100'000);
   const DurationUs bound = *ms * kMillisecond;
   const DurationUs recovery_bound = *ms * kMillisecond;
   const FreshnessPlan plan = PlanFreshness(bound, recovery_bound);
@@ -264,8 +265,8 @@
   RC_ASSERT(plan.store_timeout + plan.max_retry_delay <
             plan.store_retry_period);
   // Working gateways need not ask the store themselves.
-  RC_ASSERT(plan.store_wait > 0);
-  RC_ASSERT(plan.store_wait + plan.settle_delay < plan.store_request_age);
+  RC_ASSERT(plan.store_hold_time > 0);
+  RC_ASSERT(plan.store_hold_time + plan.settle_delay < plan.store_request_age);
 }
 
 // A store that holds a request reports when it answered, and no answer is taken
--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -25,7 +25,7 @@
     net.Run(10 * kSecond);
     EXPECT_EQ(net.LostCount(), 0U) << n;
     for (std::size_t i = 0; i < n; ++i) {
-      EXPECT_EQ(net.node(i).peers.Live(), n) << i;
+      EXPECT_EQ(net.node(i).peers.LiveCount(), n) << i;
     }
   }
 }
@@ -80,11 +80,11 @@
     return (from % 3 == 0) != (to % 3 == 0);
   });
   net.Run(15 * kSecond);
-  EXPECT_LT(net.node(0).peers.Live(), 103U);
+  EXPECT_LT(net.node(0).peers.LiveCount(), 103U);
   net.SetLoss(nullptr);
   net.Run(3 * kSecond);
   for (std::size_t n = 0; n < net.size(); ++n) {
-    EXPECT_EQ(net.node(n).peers.Live(), 103U) << n;
+    EXPECT_EQ(net.node(n).peers.LiveCount(), 103U) << n;
   }
 }
 
--- a/tests/gateway/peer_net.h
+++ b/tests/gateway/peer_net.h
@@ -108,7 +108,7 @@
   void Tick(std::size_t n) {
     Node& node = *nodes_[n];
     node.lost += node.peers.TakeLost(now_).size();
-    const DurationUs period = node.peers.Period(Batches(node));
+    const DurationUs period = node.peers.HeartbeatPeriod(Batches(node));
     for (const DueHeartbeat& it : node.peers.DueHeartbeats(now_, period)) {
       Send(n, it, false);
     }
--- a/tests/gateway/shared_piece_dispatcher_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -257,7 +257,7 @@
   net.Deliver();
   net.At(net.other).dispatcher.Drop("r");
   net.Deliver();
-  EXPECT_TRUE(net.At(net.owner).dispatcher.ServesNobody());
+  EXPECT_TRUE(net.At(net.owner).dispatcher.HasNoPeerRequests());
   EXPECT_TRUE(net.At(net.owner).local.Idle() ||
               net.At(net.owner).calls.size() == 1);
 }
@@ -269,7 +269,7 @@
   net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
   owner.dispatcher.OnPeerLost(net.now, net.other);
-  EXPECT_TRUE(owner.dispatcher.ServesNobody());
+  EXPECT_TRUE(owner.dispatcher.HasNoPeerRequests());
 }
 
 TEST(GatewayPeersTest, TakesASilentOrRestartedGatewayForLost) {
@@ -278,12 +278,12 @@
   const TimeUs now = 100 * kSecond;
   peers.OnGatewayHeartbeat(now, "a", 1, {});
   peers.OnGatewayHeartbeat(now, "b", 1, {});
-  EXPECT_EQ(peers.Live(), 3U);
+  EXPECT_EQ(peers.LiveCount(), 3U);
   EXPECT_TRUE(peers.TakeLost(now + GatewayPeers::kPeerTimeout).empty());
   peers.OnGatewayHeartbeat(now + GatewayPeers::kPeerTimeout, "b", 2, {});
   EXPECT_EQ(peers.TakeLost(now + GatewayPeers::kPeerTimeout + 1),
             (std::vector<NodeId>{"a", "b"}));
-  EXPECT_EQ(peers.Live(), 2U);
+  EXPECT_EQ(peers.LiveCount(), 2U);
 }
 
 // Guards against a gateway that, after a suspension, takes all others for dead
@@ -352,12 +352,13 @@
   for (int n = 0; n < 6; ++n) {
     peers.OnGatewayHeartbeat(now, "p" + std::to_string(n), 1, {});
   }
-  EXPECT_EQ(peers.Period(false), GatewayPeers::kGatewayHeartbeatPeriod);
+  EXPECT_EQ(peers.HeartbeatPeriod(false),
+            GatewayPeers::kGatewayHeartbeatPeriod);
   for (int n = 6; n < 30; ++n) {
     peers.OnGatewayHeartbeat(now, "p" + std::to_string(n), 1, {});
   }
-  EXPECT_EQ(peers.Period(true), GatewayPeers::kGatewayHeartbeatPeriod);
-  const DurationUs slow = peers.Period(false);
+  EXPECT_EQ(peers.HeartbeatPeriod(true), GatewayPeers::kGatewayHeartbeatPeriod);
+  const DurationUs slow = peers.HeartbeatPeriod(false);
   EXPECT_EQ(slow, 5 * GatewayPeers::kGatewayHeartbeatPeriod);
   EXPECT_EQ(peers.DueHeartbeats(now, slow).size(), 30U);
   EXPECT_TRUE(peers.DueHeartbeats(now + slow - 1, slow).empty());
--- a/tests/gateway/table_net.h
+++ b/tests/gateway/table_net.h
@@ -308,7 +308,7 @@
   }
 
   bool IsExpired(const Call& call) const {
-    return now_ >= call.sent_at + call.request.heard_for;
+    return now_ >= call.sent_at + call.request.answer_timeout;
   }
 
   TableAnswer AnswerOf(const Call& call) const {
--- a/tests/gateway/table_relay_test.cc
+++ b/tests/gateway/table_relay_test.cc
@@ -191,7 +191,7 @@
   constexpr DurationUs kRevocation = 5 * kSecond;
   FreshnessPlan plan =
       PlanFreshness(TableNet::kMaxStaleness, TableNet::kRecoveryBound);
-  plan.store_wait = kRevocation / 5;
+  plan.store_hold_time = kRevocation / 5;
   TableNet net(103, 6, plan);
   net.Run(5 * kSecond);
   const std::size_t before = net.calls();
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -99,7 +99,7 @@
           name(std::move(name)),
           random(net->random_.Next()),
           membership(this, &random, &metrics) {}
-    void AskSidecar(const NodeId& sidecar, std::uint64_t sequence) override {
+    void ProbeSidecar(const NodeId& sidecar, std::uint64_t sequence) override {
       ++net->probes;
       net->Send(name, sidecar, [this, sidecar, sequence] {
         const Sidecar& it = net->sidecars_.at(sidecar);
