--- a/src/coordination/stages/shared_piece_dispatcher.cc
+++ b/src/coordination/stages/shared_piece_dispatcher.cc
@@ -24,19 +24,20 @@
     Pending& pending = pending_[it.key];
     pending.task = it;
     pending.deadline = now + it.time_left;
-    pending.begin_by = now + it.time_to_begin;
-    pending.since = now - it.waited;
+    pending.latest_start = now + it.time_to_begin;
+    pending.request_arrived_at = now - it.waited;
   }
-  HandOver(now, std::move(tasks));
+  SendToOwner(now, std::move(tasks));
 }
 
-// All orders are of one request and for one service.
-void SharedPieceDispatcher::HandOver(TimeUs now, std::vector<PieceTask> tasks) {
+// All tasks belong to one request and one service.
+void SharedPieceDispatcher::SendToOwner(TimeUs now,
+                                        std::vector<PieceTask> tasks) {
   const NodeId owner = peers_->OwnerOf(tasks.front().service);
   for (const PieceTask& it : tasks) {
     Pending& pending = pending_[it.key];
     pending.owner = owner;
-    pending.handed_at = now;
+    pending.sent_at = now;
   }
   if (owner == self_) {
     local_->Submit(now, std::move(tasks));
@@ -46,25 +47,25 @@
   }
 }
 
-void SharedPieceDispatcher::HandAgain(TimeUs now,
-                                      const std::vector<PieceKey>& keys,
-                                      const char* why) {
+void SharedPieceDispatcher::Resubmit(TimeUs now,
+                                     const std::vector<PieceKey>& keys,
+                                     const char* reason) {
   using Group = std::pair<std::string, std::string>;  // Request and service.
   std::map<Group, std::vector<PieceTask>> groups;
   for (const PieceKey& key : keys) {
     Pending& pending = pending_.at(key);
     PieceTask task = pending.task;
     task.time_left = pending.deadline - now;
-    task.time_to_begin = pending.begin_by - now;
-    task.waited = now - pending.since;
+    task.time_to_begin = pending.latest_start - now;
+    task.waited = now - pending.request_arrived_at;
     groups[{key.request, task.service}].push_back(std::move(task));
   }
   for (auto& [group, tasks] : groups) {
     log_->Write("pieces_again", {{"id", group.first},
                                  {"service", group.second},
                                  {"pieces", tasks.size()},
-                                 {"why", why}});
-    HandOver(now, std::move(tasks));
+                                 {"why", reason}});
+    SendToOwner(now, std::move(tasks));
   }
 }
 
@@ -83,8 +84,8 @@
   }
 }
 
-// The gateway that batches the maker's service keeps the account of the maker's
-// memory.
+// The gateway that batches the service of the producing replica keeps the
+// account of that replica's memory, so the release goes there.
 void SharedPieceDispatcher::Free(const std::vector<std::string>& handles) {
   std::map<std::string, std::vector<std::string>> by_service;
   for (const auto& handle : handles) {
@@ -93,12 +94,12 @@
       by_service[producer->service].push_back(handle);
     }
   }
-  for (auto& [service, list] : by_service) {
+  for (auto& [service, released] : by_service) {
     const NodeId& owner = peers_->OwnerOf(service);
     if (owner == self_) {
-      local_->FreeOf(service, list);
+      local_->FreeForService(service, released);
     } else {
-      output_->SendToPeer(owner, PieceRelease{std::move(list)});
+      output_->SendToPeer(owner, PieceRelease{std::move(released)});
     }
   }
 }
@@ -109,16 +110,17 @@
   if (peers_->OwnerOf(service) == self_) {
     return local_->ExpectedWait(now, service);
   }
-  const auto it = told_.find(service);
-  return it == told_.end() ? QueueWait{} : it->second;
+  const auto it = peer_waits_.find(service);
+  return it == peer_waits_.end() ? QueueWait{} : it->second;
 }
 
-double SharedPieceDispatcher::MemoryHeld(const std::string& service) const {
+double SharedPieceDispatcher::MemoryShareInUse(
+    const std::string& service) const {
   if (peers_->OwnerOf(service) == self_) {
-    return local_->MemoryHeld(service);
+    return local_->MemoryShareInUse(service);
   }
-  const auto it = told_.find(service);
-  return it == told_.end() ? 0 : it->second.memory;
+  const auto it = peer_waits_.find(service);
+  return it == peer_waits_.end() ? 0 : it->second.memory;
 }
 
 bool SharedPieceDispatcher::ShortOfMemory(
@@ -129,8 +131,9 @@
       services.insert(producer->service);
     }
   }
-  return std::any_of(services.begin(), services.end(),
-                     [&](const auto& it) { return MemoryHeld(it) > kShort; });
+  return std::any_of(services.begin(), services.end(), [&](const auto& it) {
+    return MemoryShareInUse(it) > kMemoryShortageShare;
+  });
 }
 
 std::vector<ServiceQueueWait> SharedPieceDispatcher::OwnQueueWaits(
@@ -154,7 +157,7 @@
 void SharedPieceDispatcher::OnPeerQueueWaits(
     const std::vector<ServiceQueueWait>& waits) {
   for (const ServiceQueueWait& it : waits) {
-    told_[it.service] = it.wait;
+    peer_waits_[it.service] = it.wait;
   }
 }
 
@@ -171,7 +174,8 @@
   if (pending_.erase(result.key) > 0) {
     output_->OnOwnPiece(result);
   } else if (!result.handle.empty()) {
-    Free({result.handle});  // Made twice, or nobody waits any longer.
+    // Second result of the piece, or its request has ended.
+    Free({result.handle});
   }
 }
 
@@ -215,7 +219,7 @@
       lost.push_back(key);
     }
   }
-  HandAgain(now, lost, "the gateway that batches is lost");
+  Resubmit(now, lost, "the batching gateway was lost");
 }
 
 void SharedPieceDispatcher::SendResults() {
@@ -228,13 +232,14 @@
   SendResults();
   std::vector<PieceKey> overdue;
   for (const auto& [key, pending] : pending_) {
-    const DurationUs beyond = now - pending.handed_at - kPatience;
+    const DurationUs beyond = now - pending.sent_at - kResultTimeout;
     if (pending.owner != self_ && beyond > 0 &&
         beyond > ExpectedWait(now, pending.task.service).late) {
       overdue.push_back(key);
     }
   }
-  HandAgain(now, overdue, "no result in time");
+  Resubmit(now, overdue,
+           "no result within 2.5 s beyond the expected queue wait");
 }
 
 }  // namespace acaciachute
