--- a/src/coordination/interface/breaker.cc
+++ b/src/coordination/interface/breaker.cc
@@ -5,29 +5,30 @@
 namespace acaciachute {
 namespace {
 
-// Weight of the newest answer in the moving mean.
-constexpr DurationUs kMeanWeight = 8;
+// Inverse weight of the newest answer time in the moving average.
+constexpr DurationUs kMeanInverseWeight = 8;
 
 }  // namespace
 
 bool Breaker::IsDown(TimeUs now) const {
-  if (failures_ >= kFailures && now - first_failure_ >= kFailuresSpan) {
+  if (consecutive_failures_ >= kMinFailures &&
+      now - first_failure_ >= kMinFailuresSpan) {
     return true;
   }
   if (calls_.empty()) {
     return false;
   }
   const TimeUs oldest = calls_.begin()->second;
-  return now - oldest > kSilence && last_answer_ < oldest;
+  return now - oldest > kUnansweredTimeout && last_answer_ < oldest;
 }
 
 bool Breaker::Allows(TimeUs now) {
   if (IsDown(now)) {
-    if (now < next_try_) {
+    if (now < next_probe_) {
       return false;
     }
-    next_try_ =
-        now + kTryPeriod + static_cast<DurationUs>(random_->Below(kTryPeriod));
+    next_probe_ = now + kProbeInterval +
+                  static_cast<DurationUs>(random_->Below(kProbeInterval));
     return true;
   }
   return static_cast<int>(calls_.size()) < limit_;
@@ -44,19 +45,20 @@
   }
   const DurationUs took = now - it->second;
   calls_.erase(it);
-  if (outcome == CallOutcome::kAnswered && took <= kUseful) {
-    failures_ = 0;
+  if (outcome == CallOutcome::kAnswered && took <= kMaxUsefulAnswerTime) {
+    consecutive_failures_ = 0;
     last_answer_ = now;
-    mean_ += (took - mean_) / kMeanWeight;
-    limit_ = std::min(kMaxSideBySide, limit_ + 1);
+    mean_answer_time_ += (took - mean_answer_time_) / kMeanInverseWeight;
+    limit_ = std::min(kMaxConcurrentCalls, limit_ + 1);
     return;
   }
   if (outcome == CallOutcome::kAnswered) {
-    // Too late for a claim, so it neither proves "up" nor adds to "down".
-    mean_ += (took - mean_) / kMeanWeight;
+    // Too late to be of use for a claim: it neither resets nor increases the
+    // number of failures.
+    mean_answer_time_ += (took - mean_answer_time_) / kMeanInverseWeight;
     return;
   }
-  if (failures_++ == 0) {
+  if (consecutive_failures_++ == 0) {
     first_failure_ = now;
   }
   limit_ = std::max(1, limit_ / 2);
@@ -66,7 +68,8 @@
   if (IsDown(now)) {
     return PlatformState::kDown;
   }
-  return mean_ > kSlow ? PlatformState::kSlow : PlatformState::kUp;
+  return mean_answer_time_ > kSlowAnswerTime ? PlatformState::kSlow
+                                             : PlatformState::kUp;
 }
 
 }  // namespace acaciachute
--- a/src/coordination/interface/breaker.h
+++ b/src/coordination/interface/breaker.h
@@ -1,11 +1,12 @@
-// Tells a platform that is down from one that is slow, by the results of calls.
+// Circuit breaker that distinguishes a platform that is down from one that is
+// slow, by the outcomes of calls.
 //
-// Load pattern: the store is down for an hour while claims arrive. Without a
-// breaker each of them waits for its timeout, and the caller is told "not run"
-// seconds late instead of at once. Slow is another matter: its answers are
-// late but good, and refusing because of them would turn a slow hour into an
-// outage. So calls in a row that bring no answer, or none in useful time, mean
-// down; late answers mean slow, and only lower how many calls go side by side.
+// When the store is down for an hour, each arriving claim would wait for its
+// timeout, and its caller would receive "not run" seconds late instead of at
+// once. A slow store differs: its answers are late but valid, and refusing
+// requests because of them would turn a slow hour into an outage. So
+// consecutive calls without an answer, or without one in useful time, mean
+// down; late answers mean slow and only lower the number of concurrent calls.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_BREAKER_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_BREAKER_H_
 
@@ -30,27 +31,30 @@
 
 class Breaker {
  public:
-  // One lost answer or refused call in passing is no outage; five in a row over
-  // 300 ms are, also at a few calls a second.
-  static constexpr int kFailures = 5;
-  static constexpr DurationUs kFailuresSpan = 300 * kMillisecond;
-  // A claim's answer is useless later than this: the deadline is 5 s and the
-  // stages come after it.
-  static constexpr DurationUs kUseful = 1500 * kMillisecond;
-  // A call this old, with nothing answered since it began, is a failure that
-  // has only not been told yet.
-  static constexpr DurationUs kSilence = kUseful;
-  // The platform answers in a few milliseconds; fifty times that is slow.
-  static constexpr DurationUs kSlow = 250 * kMillisecond;
-  // While down one call in this time passes and tries it, plus up to as much
-  // again: 380 entries make at most 760 tries a second, a third of the reads
-  // that the platform takes.
-  static constexpr DurationUs kTryPeriod = 500 * kMillisecond;
-  static constexpr int kMaxSideBySide = 64;
+  // Number and minimum time span of consecutive failures that mean down. A
+  // single lost answer or refused call is no outage; five in a row over 300 ms
+  // are, also at a few calls per second.
+  static constexpr int kMinFailures = 5;
+  static constexpr DurationUs kMinFailuresSpan = 300 * kMillisecond;
+  // Maximum answer time of a claim call that is still of use: the deadline of a
+  // request is 5 s, and its stages run after the claim.
+  static constexpr DurationUs kMaxUsefulAnswerTime = 1500 * kMillisecond;
+  // Age at which an unanswered call counts as failed, if no other call was
+  // answered since it started.
+  static constexpr DurationUs kUnansweredTimeout = kMaxUsefulAnswerTime;
+  // Mean answer time above which the platform is slow: fifty times the usual
+  // few milliseconds.
+  static constexpr DurationUs kSlowAnswerTime = 250 * kMillisecond;
+  // Interval between probe calls while the platform is down, plus a random
+  // addition of up to the same length. 380 entries then make at most 760
+  // calls/s, a third of the reads that the platform can serve.
+  static constexpr DurationUs kProbeInterval = 500 * kMillisecond;
+  static constexpr int kMaxConcurrentCalls = 64;
 
   explicit Breaker(Random* random) : random_(random) {}
 
-  // Whether a call may be made now; if so, it is told by `OnStart`.
+  // Whether a call may be made now. The caller reports each call that it makes
+  // by `OnStart`.
   bool Allows(TimeUs now);
   void OnStart(TimeUs now, std::uint64_t call);
   void OnEnd(TimeUs now, std::uint64_t call, CallOutcome outcome);
@@ -62,13 +66,15 @@
   bool IsDown(TimeUs now) const;
 
   Random* const random_;
-  std::map<std::uint64_t, TimeUs> calls_;  // In progress, when begun.
-  int failures_ = 0;                       // In a row.
+  // Calls in progress, with their start times.
+  std::map<std::uint64_t, TimeUs> calls_;
+  int consecutive_failures_ = 0;  // Consecutive failed calls.
   TimeUs first_failure_ = 0;
   TimeUs last_answer_ = 0;
-  TimeUs next_try_ = 0;
-  DurationUs mean_ = 0;  // Moving mean time of an answer.
-  int limit_ = kMaxSideBySide;
+  TimeUs next_probe_ = 0;
+  DurationUs mean_answer_time_ =
+      0;  // Exponential moving average of answer times.
+  int limit_ = kMaxConcurrentCalls;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/interface/caller.h
+++ b/src/coordination/interface/caller.h
@@ -1,4 +1,4 @@
-// What a caller asks of an entry and the one answer it receives.
+// Request of a caller to an entry, and the single final answer to it.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_CALLER_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_CALLER_H_
 
@@ -12,57 +12,63 @@
 
 namespace acaciachute {
 
-// Names a caller's open connection to the transport.
+// Identifies the open connection of a caller at the transport.
 using CallerHandle = std::uint64_t;
 
 struct CallerRequest {
   CallerHandle handle = 0;
   std::string event;
-  // In place of an event: one call of a plain service.
+  // Set instead of `event` for a call to a plain service.
   std::string service_pool;
   std::string service_path;
   std::string account;
-  std::string key;  // Idempotency key; required when not idempotent.
+  // Idempotency key; required if the request is not idempotent.
+  std::string key;
   CallerClass caller_class = CallerClass::kPatient;
   bool idempotent = true;
   bool stream = false;
-  DurationUs deadline = 0;  // From arrival; zero takes the event's longest.
-  DurationUs waited = 0;    // Since arrival, in this process's own loop.
+  // From arrival; zero means the maximum deadline of the event.
+  DurationUs deadline = 0;
+  // Time since arrival that the request spent queued in the event loop of this
+  // process.
+  DurationUs waited = 0;
   std::string body;
   std::string traceparent;
 };
 
 struct StageCost {
   std::string pool;
-  DurationUs service = 0;  // Upstream time of all attempts that answered.
+  // Upstream time, summed over all attempts that were answered.
+  DurationUs service = 0;
   std::uint32_t attempts = 0;
 };
 
-// The one final answer to a caller.
+// The single final answer to a caller.
 struct CallerAnswer {
   Verdict verdict = Verdict::kNotRun;
   Refusal reason = Refusal::kNone;
   std::string detail;
   std::string body;
-  DurationUs retry_after = 0;  // Zero: a later try does not help.
+  DurationUs retry_after = 0;  // Zero: retrying later does not help.
   std::vector<StageCost> cost;
   std::string traceparent;
   std::string request_id;
-  bool replayed = false;  // A stored answer given again.
+  bool replayed = false;  // A stored answer, returned again.
 };
 
-// How callers and logs name a request.
+// Formats a request id as in answers to callers and in logs.
 inline std::string FormatRequestId(const RequestId& id) {
   return StrCat(id.origin, "-", id.sequence);
 }
 
-// Told to callers until the overload signal gives a better figure.
+// Retry delay sent to callers while there is no estimate from the overload
+// signal.
 inline constexpr DurationUs kDefaultRetryAfter = kSecond;
 
-// Detail of a refusal of a request with a key before its row was read: an
-// earlier copy may have run, and only the same key is safe to repeat.
+// Detail of a refusal of a request with a key before the key's row was read: an
+// earlier copy may have run, and a retry is safe only under the same key.
 inline constexpr char kThisCopyNotRun[] =
-    "this copy was not run; repeat it under the same key";
+    "this copy of the request was not run; retry it under the same key";
 
 inline CallerAnswer MakeRefusal(Verdict verdict,
                                 Refusal reason,
--- a/src/coordination/interface/claim_batch.cc
+++ b/src/coordination/interface/claim_batch.cc
@@ -10,8 +10,8 @@
 namespace acaciachute {
 namespace {
 
-// Transactions that may leave at once after a quiet time.
-constexpr int kBurst = 8;
+// Maximum number of transactions sent back to back after an idle period.
+constexpr int kMaxBurstTransactions = 8;
 
 }  // namespace
 
@@ -37,13 +37,15 @@
 
 void ClaimBatch::Flush(TimeUs now) {
   while (!queue_.empty() && in_flight_ < kMaxInFlight && next_at_ <= now) {
-    next_at_ = std::max(next_at_, now - kBurst * period_) + period_;
+    next_at_ =
+        std::max(next_at_, now - kMaxBurstTransactions * period_) + period_;
     Send(now, TakeItems());
   }
 }
 
-// One write a row: the table checks every condition before the first
-// effect, so two inserts of one row would both hold. The second one waits.
+// Takes the next batch, with at most one write per row: the table checks all
+// conditions before it applies any write, so two inserts of the same row would
+// both pass. The second one stays in the queue.
 ClaimBatch::Items ClaimBatch::TakeItems() {
   Items items;
   std::deque<Item> later;
@@ -91,7 +93,8 @@
     SplitConflict(now, std::move(items), answer);
     return;
   }
-  // Rows that do not match what was asked prove nothing.
+  // An answer whose rows do not correspond to the operations is not evidence of
+  // any outcome.
   StoreStatus status = answer.status;
   if (status == StoreStatus::kOk && answer.rows.size() != items.size()) {
     status = StoreStatus::kUnknown;
@@ -109,24 +112,26 @@
   for (const auto& row : answer.rows) {
     rows[row.key] = &row;
   }
-  Items hit;
-  Items rest;
+  Items conflicting;
+  Items remaining;
   for (auto& it : items) {
-    (rows.contains(it.op.key) ? hit : rest).push_back(std::move(it));
+    (rows.contains(it.op.key) ? conflicting : remaining)
+        .push_back(std::move(it));
   }
-  // A conflict that names none of our rows proves nothing and would come
-  // again for ever.
-  if (hit.empty()) {
-    for (const auto& it : rest) {
+  // A conflict that names none of the written rows is not evidence of any
+  // outcome, and a retry would repeat it indefinitely.
+  if (conflicting.empty()) {
+    for (const auto& it : remaining) {
       it.done(now, StoreStatus::kUnknown, {});
     }
     return;
   }
-  if (!rest.empty()) {
-    metrics_->Count("acaciachute_claim_resubmitted_total", "", rest.size());
-    Send(now, std::move(rest));
+  if (!remaining.empty()) {
+    metrics_->Count("acaciachute_claim_resubmitted_total", "",
+                    remaining.size());
+    Send(now, std::move(remaining));
   }
-  for (const auto& it : hit) {
+  for (const auto& it : conflicting) {
     it.done(now, StoreStatus::kConflict, *rows[it.op.key]);
   }
 }
--- a/src/coordination/interface/claim_batch.h
+++ b/src/coordination/interface/claim_batch.h
@@ -1,14 +1,15 @@
-// Groups conditional writes on rows of the table into few transactions.
+// Groups conditional writes to rows of the table into few transactions.
 //
-// Load pattern: non-idempotent requests come at up to 2,500/s, each with two
-// writes (the claim, its outcome), and the table takes several hundred
-// transactions a second from all entries together. One transaction a write
-// would have the table refuse most of them. A write goes out at once while
-// transactions are few, so a quiet entry adds no wait; above the entry's rate,
-// or with enough transactions in flight, writes gather and leave together.
+// Non-idempotent requests arrive at up to 2,500/s, each with two writes (the
+// claim and its outcome), while the table serves several hundred transactions
+// per second for all entries together. With one transaction per write the table
+// would refuse most of them. A write is sent at once while transactions are
+// few, so batching adds no wait at an idle entry; above the entry's rate, or at
+// the limit of transactions in flight, writes are queued and sent together.
 //
-// A transaction holds as a whole or not at all. On a conflict the rows that did
-// not hold come back; their writes are told, and the rest goes out again.
+// A transaction is atomic. On a conflict the table returns the rows whose
+// conditions failed; their writes are completed with `kConflict`, and the other
+// writes are sent again.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_CLAIM_BATCH_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_CLAIM_BATCH_H_
 
@@ -26,17 +27,20 @@
 
 class ClaimBatch {
  public:
-  // `row` is the row written or read, on a conflict the one that stands.
+  // `row` is the row written or read; on a conflict, the row currently in the
+  // table.
   using DoneFn =
       std::function<void(TimeUs now, StoreStatus status, const StoreRow& row)>;
 
-  // Transactions in flight; more would only queue at the table.
+  // Maximum number of transactions in flight; more would only queue at the
+  // table.
   static constexpr int kMaxInFlight = 4;
   static constexpr std::size_t kMaxOps = 256;
-  // Of one transaction's values; docs/PLATFORM.md gives the table's own bound.
+  // Maximum size of the values in one transaction; docs/PLATFORM.md gives the
+  // table's own limit.
   static constexpr std::size_t kMaxBytes = 2 << 20;
 
-  // `rate` is this entry's share of the table's transactions a second.
+  // `rate` is this entry's share of the table's transactions per second.
   ClaimBatch(StoreCalls* calls, Metrics* metrics, double rate);
 
   // `op` reads, inserts or updates one row.
@@ -59,8 +63,9 @@
 
   StoreCalls* const calls_;
   Metrics* const metrics_;
-  const DurationUs period_;  // Between transactions at the full rate.
-  // When the rate's next transaction is due; ahead of now by at most a burst.
+  const DurationUs period_;  // Interval between transactions at the full rate.
+  // Earliest time of the next transaction under the rate limit; unused
+  // transactions accumulate up to `kBurst`.
   TimeUs next_at_ = 0;
   int in_flight_ = 0;
   std::deque<Item> queue_;
--- a/src/coordination/interface/claims.cc
+++ b/src/coordination/interface/claims.cc
@@ -16,63 +16,75 @@
 namespace acaciachute {
 namespace {
 
-// A claim whose answer is lost is written again under the same nonce. Three
-// tries outlast a single lost answer; a longer silence is an outage, and the
-// caller is told at once instead of at the deadline.
-constexpr int kClaimTries = 3;
-// A refused row is claimed anew at most this often for one request; losing
-// more races than that means that other copies are being served.
-constexpr int kReclaims = 3;
-
-// A copy reads the holder's row at first as often as a short stage takes, then
-// at a rate that a thousand waiting copies do not load the table with.
-constexpr DurationUs kFirstPoll = 20 * kMillisecond;
-constexpr DurationUs kLongestPoll = 500 * kMillisecond;
-
-// Outcomes are written until they stand, through the longest outage that the
-// platform plans for (an hour) and some more. The pause between tries grows, so
-// an outage costs an entry a few transactions in five seconds.
-constexpr DurationUs kFirstSettlePause = 100 * kMillisecond;
-constexpr DurationUs kLongestSettlePause = 5 * kSecond;
-constexpr DurationUs kSettleFor = 90 * 60 * kSecond;
-// Bounds on what waits to be written; beyond them the oldest is given up, and
-// its callers are told "may have run" from the claim that stands.
-constexpr std::size_t kMaxUnsettled = 8192;
+// Maximum number of writes of one claim. A write without an answer is repeated
+// under the same nonce. Three attempts outlast a single lost answer; a longer
+// failure is an outage, and the caller is answered at once instead of at the
+// deadline.
+constexpr int kMaxClaimWrites = 3;
+// Maximum number of times that one request claims a refused row anew; a request
+// that loses more races than that competes with copies that are being served.
+constexpr int kMaxReclaims = 3;
+
+// Initial and maximum interval at which a waiting copy reads the holder's row:
+// first the duration of a short stage, then low enough that a thousand waiting
+// copies do not overload the table.
+constexpr DurationUs kInitialPollInterval = 20 * kMillisecond;
+constexpr DurationUs kMaxPollInterval = 500 * kMillisecond;
+
+// Initial and maximum delay between writes of an outcome, and the total time of
+// retries. An outcome is retried until it is in the table, through the longest
+// outage that the platform plans for (an hour) with a margin. The delay grows,
+// so an outage costs an entry a few transactions per five seconds.
+constexpr DurationUs kInitialOutcomeRetryDelay = 100 * kMillisecond;
+constexpr DurationUs kMaxOutcomeRetryDelay = 5 * kSecond;
+constexpr DurationUs kOutcomeRetryDuration = 90 * 60 * kSecond;
+// Limits on outcomes that wait to be written, by number and total size. Beyond
+// them the oldest outcome is dropped, and its callers receive "may have run"
+// from the claim left in the table.
+constexpr std::size_t kMaxUnsettledOutcomes = 8192;
 constexpr std::size_t kMaxUnsettledBytes = 16 << 20;
-// An answer above this is not kept for a lost reply.
-constexpr std::size_t kMaxStoredAnswer = 1 << 20;
+// Maximum size of an answer that is stored in the claim row; a larger one
+// cannot be retrieved after a lost reply.
+constexpr std::size_t kMaxStoredAnswerBytes = 1 << 20;
 
 constexpr TimeUs kNever = std::numeric_limits<TimeUs>::max();
 
 enum class Phase {
-  kTaking,    // The claim's write is not answered yet.
-  kHeld,      // Ours; the request runs.
-  kPolling,   // Another's; its answer is read until it is there.
+  kClaiming,  // The write of the claim is not answered yet.
+  kHeld,      // This entry holds the claim; the request runs.
+  // Another entry holds the claim; its row is polled for the answer.
+  kPolling,
   kSettling,  // The request ended; its outcome is being written.
 };
 
-// What this entry knows of one row.
+// State of one claim row as known to this entry.
 struct RowState {
   std::string key;
-  std::uint64_t serial = 0;  // Tells a row state from its predecessor.
-  Phase phase = Phase::kTaking;
-  Claim claim;             // Ours, as written or to be written.
-  std::uint64_t base = 0;  // Version that our write replaces; zero: none.
-  // A write of ours had no answer and may stand or still land.
-  bool may_stand = false;
+  // Distinguishes this state from an earlier one of the same row.
+  std::uint64_t serial = 0;
+  Phase phase = Phase::kClaiming;
+  // The claim of this entry, as written or to be written.
+  Claim claim;
+  // Version that the next write replaces; zero: the row is inserted.
+  std::uint64_t base = 0;
+  // A write of this entry had no answer: it may have been applied or may still
+  // be.
+  bool may_be_applied = false;
   int tries = 0;
   int reclaims = 0;
   std::optional<RequestId> owner;
-  std::vector<RequestId> waiters;  // Copies, all with the claim's body.
+  // Waiting copies of the request, all with the claim's body.
+  std::vector<RequestId> waiters;
   bool in_flight = false;
-  ClaimState written = ClaimState::kClaimed;  // By the write in flight.
+  // Claim state in the write that is in flight.
+  ClaimState written = ClaimState::kClaimed;
   TimeUs due = kNever;
   DurationUs pause = 0;
   TimeUs settle_until = 0;
 };
 
-// What a claim row tells the caller of a later or concurrent copy.
-CallerAnswer AnswerOf(const Claim& claim) {
+// Returns the answer to a later or concurrent copy, by the state of the claim.
+CallerAnswer AnswerFromClaim(const Claim& claim) {
   switch (claim.state) {
     case ClaimState::kAnswered: {
       CallerAnswer answer;
@@ -93,18 +105,18 @@
                      StrCat("claimed by ", claim.holder));
 }
 
-CallerAnswer HolderGone() {
+CallerAnswer HolderStoppedAnswer() {
   return MakeRefusal(Verdict::kMayHaveRun, Refusal::kInProgress,
-                     "the entry that ran it is gone", 0);
+                     "the entry that ran the request has stopped", 0);
 }
 
-CallerAnswer KeyReused() {
+CallerAnswer KeyReusedAnswer() {
   return MakeRefusal(Verdict::kNotRun, Refusal::kKeyReused);
 }
 
-// The table did not answer. Nothing of this copy ran or will, but whether an
-// earlier copy ran is in the table.
-CallerAnswer StoreDown() {
+// Answer when the table is unavailable. This copy has not run and will not;
+// whether an earlier copy ran is known only to the table.
+CallerAnswer StoreDownAnswer() {
   return MakeRefusal(Verdict::kNotRun, Refusal::kStoreDown, kThisCopyNotRun);
 }
 
@@ -129,27 +141,27 @@
                  const std::string& key,
                  std::uint64_t serial,
                  StoreStatus status,
-                 const StoreRow& stands);
-  void OnTaken(TimeUs now,
-               RowState& row,
-               StoreStatus status,
-               const StoreRow& stands);
-  void OnRowStands(TimeUs now, RowState& row, const StoreRow& stands);
+                 const StoreRow& table_row);
+  void OnClaimWritten(TimeUs now,
+                      RowState& row,
+                      StoreStatus status,
+                      const StoreRow& table_row);
+  void OnRowConflict(TimeUs now, RowState& row, const StoreRow& table_row);
   void Hold(TimeUs now, RowState& row, std::uint64_t version);
-  void Reclaim(TimeUs now, RowState& row, const StoreRow& stands);
+  void Reclaim(TimeUs now, RowState& row, const StoreRow& table_row);
   void StartPolling(TimeUs now, RowState& row);
   void Poll(TimeUs now, RowState& row);
   void OnPolled(TimeUs now,
                 const std::string& key,
                 std::uint64_t serial,
                 StoreStatus status,
-                const StoreRow& stands);
+                const StoreRow& table_row);
   void Settle(TimeUs now, RowState& row, const CallerAnswer& answer);
-  void OnSettled(TimeUs now,
-                 RowState& row,
-                 StoreStatus status,
-                 const StoreRow& stands);
-  void BoundUnsettled();
+  void OnOutcomeWritten(TimeUs now,
+                        RowState& row,
+                        StoreStatus status,
+                        const StoreRow& table_row);
+  void DropOutcomesOverLimit();
   void AnswerAll(TimeUs now, RowState& row, const CallerAnswer& answer);
   void Schedule(RowState& row, TimeUs due);
   void Forget(RowState& row);
@@ -165,7 +177,8 @@
   absl::flat_hash_map<std::string, std::unique_ptr<RowState>> rows;
   absl::flat_hash_map<RequestId, std::string> by_request;
   std::set<std::pair<TimeUs, std::string>> due;
-  std::map<std::uint64_t, std::string> settling;  // By serial: oldest first.
+  // Rows in `Phase::kSettling` by serial, the oldest first.
+  std::map<std::uint64_t, std::string> settling;
   std::size_t unsettled_bytes = 0;
 };
 
@@ -195,7 +208,8 @@
   rows.erase(key);
 }
 
-// Tells everybody who waits for this row, which is forgotten.
+// Answers all requests that wait for this row. The row is forgotten unless its
+// outcome is still being written.
 void Claims::Impl::AnswerAll(TimeUs now,
                              RowState& row,
                              const CallerAnswer& answer) {
@@ -217,26 +231,26 @@
   }
 }
 
-// A copy of a request that this entry already knows needs no write.
+// Adds a copy of a request that this entry already tracks; it needs no write.
 void Claims::Impl::Join(TimeUs now,
                         RowState& row,
                         const ClaimSubject& subject) {
   if (row.claim.body_hash != subject.body_hash) {
-    events->OnClaimAnswer(now, subject.id, KeyReused());
+    events->OnClaimAnswer(now, subject.id, KeyReusedAnswer());
     return;
   }
   if (row.phase == Phase::kSettling) {
     if (row.claim.state == ClaimState::kRefused && !row.in_flight) {
       Schedule(row, now);
     }
-    events->OnClaimAnswer(now, subject.id, AnswerOf(row.claim));
+    events->OnClaimAnswer(now, subject.id, AnswerFromClaim(row.claim));
     return;
   }
   by_request[subject.id] = row.key;
   row.waiters.push_back(subject.id);
   events->OnClaimElsewhere(now, subject.id);
   // Whichever of the two ends first, the other may still run.
-  if (row.phase == Phase::kTaking) {
+  if (row.phase == Phase::kClaiming) {
     events->OnClaimElsewhere(now, *row.owner);
   }
 }
@@ -252,8 +266,8 @@
   op.version = row.base;
   writes.Add(now, std::move(op),
              [this, key = row.key, serial = row.serial](
-                 TimeUs at, StoreStatus status, const StoreRow& stands) {
-               OnWritten(at, key, serial, status, stands);
+                 TimeUs at, StoreStatus status, const StoreRow& table_row) {
+               OnWritten(at, key, serial, status, table_row);
              });
 }
 
@@ -261,53 +275,55 @@
                              const std::string& key,
                              std::uint64_t serial,
                              StoreStatus status,
-                             const StoreRow& stands) {
+                             const StoreRow& table_row) {
   RowState* row = Find(key, serial);
   if (row == nullptr) {
     return;
   }
   row->in_flight = false;
   if (row->phase == Phase::kSettling) {
-    OnSettled(now, *row, status, stands);
+    OnOutcomeWritten(now, *row, status, table_row);
   } else {
-    OnTaken(now, *row, status, stands);
+    OnClaimWritten(now, *row, status, table_row);
   }
 }
 
-// Failure: the answer to the claim's write is lost after it took effect.
-// Symptom: the entry cannot tell its own claim from another's. The same write
-// is sent again under the same nonce: either it holds, and the lost one can no
-// longer, or the row that stands carries our nonce, and the claim is ours.
-void Claims::Impl::OnTaken(TimeUs now,
-                           RowState& row,
-                           StoreStatus status,
-                           const StoreRow& stands) {
+// Handles the result of the claim's write. If its answer was lost after the
+// write took effect, the entry cannot distinguish its own claim from another's.
+// The same write is sent again under the same nonce: either it succeeds, and
+// the lost write can no longer be applied, or the row in the table carries this
+// nonce, and the claim is held.
+void Claims::Impl::OnClaimWritten(TimeUs now,
+                                  RowState& row,
+                                  StoreStatus status,
+                                  const StoreRow& table_row) {
   if (status == StoreStatus::kOk) {
-    Hold(now, row, stands.version);
+    Hold(now, row, table_row.version);
     return;
   }
   if (status == StoreStatus::kConflict) {
-    OnRowStands(now, row, stands);
+    OnRowConflict(now, row, table_row);
     return;
   }
-  row.may_stand = row.may_stand || status == StoreStatus::kUnknown;
-  if (status == StoreStatus::kUnknown && row.tries < kClaimTries) {
+  row.may_be_applied = row.may_be_applied || status == StoreStatus::kUnknown;
+  if (status == StoreStatus::kUnknown && row.tries < kMaxClaimWrites) {
     metrics->Count("acaciachute_claim_retries_total");
     Write(now, row);
     return;
   }
-  // No stage runs before a claim is known to stand, so this is "not run" even
-  // if a write lands later; that one is settled after the answer.
-  if (row.may_stand) {
-    Settle(now, row, StoreDown());
+  // No stage runs before the claim is confirmed, so the answer is "not run"
+  // even if the write is applied later; the outcome is then written after the
+  // answer.
+  if (row.may_be_applied) {
+    Settle(now, row, StoreDownAnswer());
   }
-  AnswerAll(now, row, StoreDown());
+  AnswerAll(now, row, StoreDownAnswer());
 }
 
-void Claims::Impl::OnRowStands(TimeUs now,
-                               RowState& row,
-                               const StoreRow& stands) {
-  const auto other = DecodeClaim(stands.value);
+void Claims::Impl::OnRowConflict(TimeUs now,
+                                 RowState& row,
+                                 const StoreRow& table_row) {
+  const auto other = DecodeClaim(table_row.value);
   if (!other.ok()) {
     metrics->Count("acaciachute_claim_rows_unreadable_total");
     AnswerAll(now, row,
@@ -316,42 +332,46 @@
     return;
   }
   if (other->nonce == row.claim.nonce && other->state == ClaimState::kClaimed) {
-    Hold(now, row, stands.version);
+    Hold(now, row, table_row.version);
     return;
   }
   if (other->body_hash != row.claim.body_hash) {
-    AnswerAll(now, row, KeyReused());
+    AnswerAll(now, row, KeyReusedAnswer());
     return;
   }
-  if (other->state == ClaimState::kRefused && row.reclaims < kReclaims) {
-    Reclaim(now, row, stands);
+  if (other->state == ClaimState::kRefused && row.reclaims < kMaxReclaims) {
+    Reclaim(now, row, table_row);
     return;
   }
-  // A predecessor of this process held it and is dead.
-  const bool dead = other->state == ClaimState::kClaimed &&
-                    other->holder == options.node &&
-                    other->holder_incarnation != options.incarnation;
-  if (other->state == ClaimState::kClaimed && !dead) {
+  // The holder is a previous incarnation of this process and cannot finish.
+  const bool holder_stopped = other->state == ClaimState::kClaimed &&
+                              other->holder == options.node &&
+                              other->holder_incarnation != options.incarnation;
+  if (other->state == ClaimState::kClaimed && !holder_stopped) {
     StartPolling(now, row);
     return;
   }
-  AnswerAll(now, row, dead ? HolderGone() : AnswerOf(*other));
+  AnswerAll(now, row,
+            holder_stopped ? HolderStoppedAnswer() : AnswerFromClaim(*other));
 }
 
 void Claims::Impl::Hold(TimeUs now, RowState& row, std::uint64_t version) {
   row.phase = Phase::kHeld;
   row.base = version;
-  row.may_stand = false;
+  row.may_be_applied = false;
   events->OnClaimHeld(now, *row.owner);
 }
 
-// Nothing ran under a refused row and nothing will: its holder never ran, and
-// every write of its own is conditional on a version that is gone with ours.
-void Claims::Impl::Reclaim(TimeUs now, RowState& row, const StoreRow& stands) {
+// Claims a refused row anew. Nothing ran or will run under it: its holder never
+// ran, and every write of that holder is conditional on a version that this
+// write replaces.
+void Claims::Impl::Reclaim(TimeUs now,
+                           RowState& row,
+                           const StoreRow& table_row) {
   metrics->Count("acaciachute_claim_reclaims_total");
   ++row.reclaims;
-  row.base = stands.version;
-  row.may_stand = false;
+  row.base = table_row.version;
+  row.may_be_applied = false;
   row.tries = 0;
   Write(now, row);
 }
@@ -362,7 +382,7 @@
   const RequestId id = *row.owner;
   row.waiters.insert(row.waiters.begin(), id);
   row.owner.reset();
-  row.pause = kFirstPoll;
+  row.pause = kInitialPollInterval;
   Schedule(row, now + row.pause);
   events->OnClaimElsewhere(now, id);
 }
@@ -371,8 +391,8 @@
   row.in_flight = true;
   reads.Add(now, {StoreOpKind::kRead, row.key, "", 0},
             [this, key = row.key, serial = row.serial](
-                TimeUs at, StoreStatus status, const StoreRow& stands) {
-              OnPolled(at, key, serial, status, stands);
+                TimeUs at, StoreStatus status, const StoreRow& table_row) {
+              OnPolled(at, key, serial, status, table_row);
             });
 }
 
@@ -380,19 +400,19 @@
                             const std::string& key,
                             std::uint64_t serial,
                             StoreStatus status,
-                            const StoreRow& stands) {
+                            const StoreRow& table_row) {
   RowState* row = Find(key, serial);
   if (row == nullptr) {
     return;
   }
   row->in_flight = false;
-  const auto other = DecodeClaim(stands.value);
+  const auto other = DecodeClaim(table_row.value);
   if (status == StoreStatus::kOk && other.ok() &&
       other->state != ClaimState::kClaimed) {
-    AnswerAll(now, *row, AnswerOf(*other));
+    AnswerAll(now, *row, AnswerFromClaim(*other));
     return;
   }
-  row->pause = std::min(kLongestPoll, 2 * row->pause);
+  row->pause = std::min(kMaxPollInterval, 2 * row->pause);
   Schedule(*row, now + row->pause);
 }
 
@@ -405,37 +425,39 @@
                     : answer.verdict == Verdict::kNotRun
                         ? ClaimState::kRefused
                         : ClaimState::kMayHaveRun;
-  if (answer.body.size() <= kMaxStoredAnswer) {
+  if (answer.body.size() <= kMaxStoredAnswerBytes) {
     row.claim.answer = answer.body;
   } else {
     metrics->Count("acaciachute_claim_answers_too_large_total");
     row.claim.state = ClaimState::kMayHaveRun;
     row.claim.reason = Refusal::kTooLarge;
   }
-  row.pause = kFirstSettlePause;
-  row.settle_until = now + kSettleFor;
+  row.pause = kInitialOutcomeRetryDelay;
+  row.settle_until = now + kOutcomeRetryDuration;
   unsettled_bytes += row.claim.answer.size();
   settling[row.serial] = row.key;
-  // The answer to a claim in flight says which row the outcome replaces.
+  // The answer to a claim's write in flight carries the version that the
+  // outcome replaces.
   if (!row.in_flight) {
     Write(now, row);
   }
-  BoundUnsettled();
+  DropOutcomesOverLimit();
 }
 
-// Failure: an outcome's write has no answer, or a claim's write landed after
-// its request was given up. Symptom: the row says "claimed" for ever and its
-// callers "may have run", though the answer was given or nothing ran. The
-// outcome is written until it is seen to stand; each try is conditional on the
-// version it replaces, so a late one changes nothing.
-void Claims::Impl::OnSettled(TimeUs now,
-                             RowState& row,
-                             StoreStatus status,
-                             const StoreRow& stands) {
+// Handles the result of an outcome's write. If that write has no answer, or the
+// claim's write is applied after its request was given up, the row would stay
+// "claimed" for ever and its callers would receive "may have run", though the
+// answer was given or nothing ran. So the outcome is retried until it is
+// confirmed; each write is conditional on the version it replaces, so a delayed
+// one has no effect.
+void Claims::Impl::OnOutcomeWritten(TimeUs now,
+                                    RowState& row,
+                                    StoreStatus status,
+                                    const StoreRow& table_row) {
   if (status == StoreStatus::kOk) {
-    // The claim itself was still on its way when the request ended.
+    // The write in flight was the claim's, sent before the request ended.
     if (row.written != row.claim.state) {
-      row.base = stands.version;
+      row.base = table_row.version;
       Write(now, row);
       return;
     }
@@ -443,11 +465,11 @@
     return;
   }
   if (status == StoreStatus::kConflict) {
-    const auto other = DecodeClaim(stands.value);
+    const auto other = DecodeClaim(table_row.value);
     const bool ours = other.ok() && other->nonce == row.claim.nonce &&
                       other->state == ClaimState::kClaimed;
-    if (ours && stands.version != row.base) {
-      row.base = stands.version;
+    if (ours && table_row.version != row.base) {
+      row.base = table_row.version;
       Write(now, row);
       return;
     }
@@ -461,12 +483,13 @@
   }
   metrics->Count("acaciachute_outcome_retries_total");
   Schedule(row, now + row.pause);
-  row.pause = std::min(kLongestSettlePause, 2 * row.pause);
+  row.pause = std::min(kMaxOutcomeRetryDelay, 2 * row.pause);
 }
 
-// Never reaches the row that settles last: one answer is below the bound.
-void Claims::Impl::BoundUnsettled() {
-  while (settling.size() > kMaxUnsettled ||
+// Drops the oldest outcomes beyond the limits. The outcome added last is never
+// dropped: one answer is smaller than the limit.
+void Claims::Impl::DropOutcomesOverLimit() {
+  while (settling.size() > kMaxUnsettledOutcomes ||
          unsettled_bytes > kMaxUnsettledBytes) {
     metrics->Count("acaciachute_outcomes_dropped_total");
     Forget(*rows[settling.begin()->second]);
@@ -521,16 +544,17 @@
     return;
   }
   row.owner.reset();
-  // Nothing ran yet, so a waiting copy may go on with the same claim.
-  if (row.phase == Phase::kTaking && !row.waiters.empty()) {
+  // Nothing ran yet, so the first waiting copy takes over the claim.
+  if (row.phase == Phase::kClaiming && !row.waiters.empty()) {
     row.owner = row.waiters.front();
     row.waiters.erase(row.waiters.begin());
     return;
   }
   impl_->Settle(now, row, answer);
-  // Copies: the outcome is not forgotten before it stands.
-  const CallerAnswer told = AnswerOf(row.claim);
-  impl_->AnswerAll(now, row, told);
+  // A copy of the answer is passed, because the row stays until its outcome is
+  // confirmed.
+  const CallerAnswer stored_answer = AnswerFromClaim(row.claim);
+  impl_->AnswerAll(now, row, stored_answer);
 }
 
 void Claims::Ask(TimeUs now,
@@ -539,10 +563,11 @@
                  std::string_view key) {
   std::string row_key = ClaimRowKey(account, key);
   const auto it = impl_->rows.find(row_key);
-  // What is refused here may have run at another entry; the table knows.
+  // A request refused at this entry may have run at another one, so the table
+  // is read.
   if (it != impl_->rows.end() && it->second->phase != Phase::kPolling &&
       it->second->claim.state != ClaimState::kRefused) {
-    impl_->events->OnClaimStatus(handle, AnswerOf(it->second->claim));
+    impl_->events->OnClaimStatus(handle, AnswerFromClaim(it->second->claim));
     return;
   }
   impl_->reads.Add(
@@ -551,14 +576,15 @@
         if (status != StoreStatus::kOk) {
           impl_->events->OnClaimStatus(
               handle, MakeRefusal(Verdict::kMayHaveRun, Refusal::kStoreDown,
-                                  "what became of it cannot be read now"));
+                                  "the store does not answer; the status of "
+                                  "the request is unknown"));
         } else if (row.version == 0) {
-          // A copy may still be on its way, and idempotent requests leave none.
+          // A copy may still arrive, and idempotent requests leave no row.
           impl_->events->OnClaimStatus(
               handle, MakeRefusal(Verdict::kMayHaveRun, Refusal::kNotFound,
-                                  "nothing has run under this key so far"));
+                                  "no request has run under this key so far"));
         } else if (const auto claim = DecodeClaim(row.value); claim.ok()) {
-          impl_->events->OnClaimStatus(handle, AnswerOf(*claim));
+          impl_->events->OnClaimStatus(handle, AnswerFromClaim(*claim));
         } else {
           impl_->events->OnClaimStatus(
               handle, MakeRefusal(Verdict::kMayHaveRun, Refusal::kInProgress,
--- a/src/coordination/interface/claims.h
+++ b/src/coordination/interface/claims.h
@@ -1,10 +1,11 @@
-// Lets a non-idempotent request run at most once, whichever entry it and its
-// copies reach.
+// Ensures that a non-idempotent request runs at most once, whichever entries
+// receive copies of it.
 //
-// Before any stage may run, a row of (account, key) is inserted conditionally.
-// The holder runs; every other copy waits for the holder's stored answer, or
-// says that the request may have run, and never runs. The row is written again
-// when the request ends, so that a lost answer can be asked for.
+// Before any stage may run, a row for (account, key) is inserted conditionally.
+// The request that holds the claim runs; every other copy waits for the
+// holder's stored answer, or is answered "may have run", and never runs. The
+// row is updated when the request ends, so that a caller who lost the answer
+// can retrieve it.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_CLAIMS_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_CLAIMS_H_
 
@@ -28,47 +29,49 @@
   std::uint64_t body_hash = 0;
 };
 
-// Told to the entry, from within calls too.
+// Receives the results of claims, possibly from within calls to `ClaimKeeper`.
 class ClaimEvents {
  public:
   virtual ~ClaimEvents() = default;
-  // The claim stands and nothing has run under it: the request may run.
+  // The claim is in the table and nothing has run under it: the request may
+  // run.
   virtual void OnClaimHeld(TimeUs now, RequestId id) = 0;
-  // Another copy holds the claim and may run; this one waits for its answer.
+  // Another copy holds the claim and may run; this copy waits for its answer.
   virtual void OnClaimElsewhere(TimeUs now, RequestId id) = 0;
-  // The request ends with `answer` and is forgotten here.
+  // The request ends with `answer`, and the claim keeper has removed it.
   virtual void OnClaimAnswer(TimeUs now, RequestId id, CallerAnswer answer) = 0;
   virtual void OnClaimStatus(CallerHandle handle, CallerAnswer answer) = 0;
 };
 
-// What the entry needs of claims. A test shows by another implementation that
-// the proof of at most once rests on them.
+// Interface of claims to the entry. A test substitutes another implementation
+// to show that the at-most-once guarantee depends on claims.
 class ClaimKeeper {
  public:
   virtual ~ClaimKeeper() = default;
   virtual void Take(TimeUs now, const ClaimSubject& subject) = 0;
-  // The request ended here and its caller was told `answer`.
+  // The request ended here, and `answer` was sent to its caller.
   virtual void End(TimeUs now, RequestId id, const CallerAnswer& answer) = 0;
-  // What became of a request.
+  // Looks up the status of a request and reports it by `OnClaimStatus`.
   virtual void Ask(TimeUs now,
                    CallerHandle handle,
                    std::string_view account,
                    std::string_view key) = 0;
   virtual void OnTick(TimeUs now) = 0;
   virtual TimeUs NextWakeup() const = 0;
-  // Outcomes that are not yet known to stand in the table.
+  // Number of outcomes that are not yet confirmed in the table.
   virtual std::size_t Unsettled() const = 0;
 };
 
 struct ClaimOptions {
   NodeId node;
   Incarnation incarnation = 0;
-  double transactions_per_second = 100;  // This entry's share of the table's.
+  // This entry's share of the table's transaction rate.
+  double transactions_per_second = 100;
 };
 
 class Claims : public ClaimKeeper {
  public:
-  // `events` is told of outcomes; all pointers outlive this object.
+  // `events` receives the results. All pointers must outlive this object.
   Claims(ClaimOptions options,
          StoreCalls* calls,
          ClaimEvents* events,
--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -34,9 +34,9 @@
   std::unique_ptr<ClaimKeeper> MakeClaims();
 
   // Admission.
-  std::string ConvictedBy(TimeUs now,
-                          const CallerRequest& call,
-                          const Event& event) const;
+  std::string ConvictionReason(TimeUs now,
+                               const CallerRequest& call,
+                               const Event& event) const;
   std::shared_ptr<const Event> FindEvent(const CallerRequest& call) const;
   CallerAnswer Check(const CallerRequest& call, const Event* event) const;
   void Refuse(const CallerRequest& call, CallerAnswer answer);
@@ -46,7 +46,7 @@
              RequestLoad request_load);
   void StartTrace(EntryRequest& request);
 
-  // The end of a request.
+  // Completion.
   void GiveUp(TimeUs now,
               EntryRequest& request,
               Refusal reason,
@@ -113,8 +113,8 @@
   return it == requests.end() ? nullptr : it->second.get();
 }
 
-// The event of the settings in force, which live as long as it does; a plain
-// service is an event of one stage.
+// Returns the event of the current settings; the pointer shares ownership of
+// those settings. A call to a plain service becomes an event of one stage.
 std::shared_ptr<const Event> Entry::Impl::FindEvent(
     const CallerRequest& call) const {
   if (call.service_pool.empty()) {
@@ -131,7 +131,7 @@
   return event;
 }
 
-// `kNone` when the request may be admitted.
+// Checks whether the request may be admitted; the reason is then `kNone`.
 CallerAnswer Entry::Impl::Check(const CallerRequest& call,
                                 const Event* event) const {
   const auto refuse = [](Refusal reason, std::string detail = "") {
@@ -151,14 +151,14 @@
       call.deadline == 0 ? event->max_deadline : call.deadline;
   if (deadline < 0 || deadline > event->max_deadline) {
     return refuse(Refusal::kMalformed,
-                  StrCat("the deadline is past the event's longest, ",
+                  StrCat("the deadline exceeds the event's maximum of ",
                          event->max_deadline / kMillisecond, " ms"));
   }
   if (!call.idempotent && call.key.empty()) {
-    return refuse(Refusal::kMalformed, "a key is required");
+    return refuse(Refusal::kMalformed, "an idempotency key is required");
   }
-  // The loop is a queue too: what waited in it past its deadline is refused
-  // before it costs anything.
+  // A request that waited in the event loop past its deadline is refused before
+  // it causes any work.
   if (call.waited >= deadline) {
     return refuse(Refusal::kLate);
   }
@@ -168,10 +168,11 @@
   return {};
 }
 
-// Why the request is quarantined in one of its stages; empty when it is not.
-std::string Entry::Impl::ConvictedBy(TimeUs now,
-                                     const CallerRequest& call,
-                                     const Event& event) const {
+// Explains the conviction of the request in one of its stages; empty if there
+// is none.
+std::string Entry::Impl::ConvictionReason(TimeUs now,
+                                          const CallerRequest& call,
+                                          const Event& event) const {
   for (const Stage& stage : event.stages) {
     const auto it = StageFingerprint(call.account, call.body, stage.pool);
     if (quarantine.Of(now, it) == Standing::kConvicted) {
@@ -356,7 +357,7 @@
     impl_->Refuse(request, std::move(refusal));
     return;
   }
-  auto convicted = impl_->ConvictedBy(now, request, *event);
+  auto convicted = impl_->ConvictionReason(now, request, *event);
   if (!convicted.empty()) {
     impl_->Refuse(request, MakeRefusal(Verdict::kNotRun, Refusal::kQuarantined,
                                        std::move(convicted)));
@@ -383,9 +384,9 @@
   impl_->claims->Ask(now, handle, account, key);
 }
 
-// Work that nobody waits for is cancelled through to the upstream. A
-// non-idempotent request that may run already is finished instead, so that its
-// answer can be asked for by the status call.
+// Cancels the request through to the upstream, because no caller waits for it.
+// A non-idempotent request that may already run is finished instead, so that
+// the caller can retrieve its answer by the status call.
 void Entry::OnCallerGone(TimeUs now, CallerHandle handle) {
   const auto it = impl_->by_handle.find(handle);
   if (it == impl_->by_handle.end()) {
@@ -434,17 +435,17 @@
 }
 
 void Entry::OnPeerLost(TimeUs now, const NodeId& sidecar) {
-  std::vector<RequestId> hit;
+  std::vector<RequestId> affected;
   for (const auto& [id, request] : impl_->requests) {
     if (request->attempt && request->attempt->node == sidecar) {
-      hit.push_back(id);
+      affected.push_back(id);
     }
   }
-  std::sort(hit.begin(), hit.end());
+  std::sort(affected.begin(), affected.end());
   if (Replica* replica = impl_->replicas.Find(sidecar)) {
     impl_->load.OnUnreachable(replica);
   }
-  for (const RequestId& id : hit) {
+  for (const RequestId& id : affected) {
     if (EntryRequest* request = impl_->Find(id)) {
       impl_->pipeline.FailAttempt(now, *request, Verdict::kMayHaveRun,
                                   Refusal::kUpstreamFailed, 0);
--- a/src/coordination/interface/entry.h
+++ b/src/coordination/interface/entry.h
@@ -1,8 +1,10 @@
-// The entry's decisions without I/O: (time, message) in, actions out.
+// The entry's decision logic without I/O: takes (time, message) and calls
+// `EntryOutput`.
 //
 // A request is admitted or refused, claimed when it is not idempotent, run
-// stage by stage, assembled and answered once. Failures are short tests that
-// hand over messages late, twice, out of order or never.
+// stage by stage, assembled and answered once. Because there is no I/O, tests
+// of failures are short: they deliver messages late, twice, out of order or
+// never.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_ENTRY_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_ENTRY_H_
 
@@ -29,12 +31,12 @@
 
 namespace acaciachute {
 
-// What the core asks its driver to do.
+// Actions that the entry requests from its driver.
 class EntryOutput : public StoreOutput {
  public:
   virtual void Send(const NodeId& sidecar, const Message& message) = 0;
   virtual void Answer(CallerHandle handle, const CallerAnswer& answer) = 0;
-  // Part of a streamed answer, in order; `Answer` ends the stream.
+  // Sends the next part of a streamed answer; `Answer` ends the stream.
   virtual void Stream(CallerHandle handle, std::string_view part) = 0;
   virtual void Export(const Span& span) = 0;
 };
@@ -42,13 +44,16 @@
 struct EntryOptions {
   NodeId node;
   Incarnation incarnation = 0;
-  std::size_t max_requests = 4096;     // In progress at once.
-  const Currency* currency = nullptr;  // Without one, always current.
-  // Transactions on claims: this entry's share of what the table takes.
+  // Maximum number of requests in progress.
+  std::size_t max_requests = 4096;
+  // Null: the settings always count as current.
+  const Currency* currency = nullptr;
+  // This entry's share of the table's transaction rate for claims.
   double claim_transactions_per_second = 100;
 };
 
-// Makes the keeper of claims; tests give another to show what rests on it.
+// Creates the claim keeper. Tests substitute another one to show which
+// guarantees depend on claims.
 using ClaimKeeperFactory =
     std::function<std::unique_ptr<ClaimKeeper>(ClaimEvents* events)>;
 
@@ -65,7 +70,7 @@
 
   void OnSettings(TimeUs now, SettingsPtr settings);
   void OnRequest(TimeUs now, CallerRequest request);
-  // What became of a request whose answer was lost.
+  // Reports the status of a request whose answer the caller lost.
   void OnStatus(TimeUs now,
                 CallerHandle handle,
                 std::string_view account,
@@ -76,21 +81,23 @@
                    const NodeId& from,
                    Incarnation incarnation,
                    const Heartbeat& heartbeat);
-  // What membership judges of a sidecar that did not say so itself.
+  // Sets the state of a sidecar that membership derived, such as suspected or
+  // dead, rather than one that the sidecar reported.
   void OnMemberState(TimeUs now, const NodeId& sidecar, NodeState state);
-  // The connection to a sidecar broke: attempts there may have run.
+  // The connection to a sidecar was lost: its attempts in progress may have
+  // run.
   void OnPeerLost(TimeUs now, const NodeId& sidecar);
-  // The connection was never made: `message` did not leave this process.
+  // The connection was not established: `message` did not leave this process.
   void OnUnsent(TimeUs now, const NodeId& sidecar, const Message& message);
   void OnStoreAnswer(TimeUs now, StoreTicket ticket, const StoreAnswer& answer);
   void OnTick(TimeUs now);
-  // When `OnTick` has work again; the far future when nothing waits.
+  // Time at which `OnTick` is due next; the far future when nothing waits.
   TimeUs NextWakeup() const;
 
-  // From now on new requests are refused; those in progress finish.
+  // Refuses new requests from now on; those in progress finish.
   void Leave();
   std::size_t InProgress() const;
-  // Outcomes of claims that are not known to stand in the table yet.
+  // Number of claim outcomes that are not yet confirmed in the table.
   std::size_t Unsettled() const;
 
   const CostTable& costs() const;
--- a/src/coordination/interface/entry_request.h
+++ b/src/coordination/interface/entry_request.h
@@ -1,4 +1,4 @@
-// A request in progress at an entry, and the attempt of its current stage.
+// A request in progress at an entry, and the attempt at its current stage.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_ENTRY_REQUEST_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_ENTRY_REQUEST_H_
 
@@ -23,11 +23,11 @@
   Incarnation incarnation = 0;
   TimeUs sent_at = 0;
   std::uint64_t span = 0;
-  // Chunks that came ahead of their turn, by number.
-  std::map<std::uint32_t, std::string> early;
+  // Chunks that arrived ahead of a missing one, by sequence number.
+  std::map<std::uint32_t, std::string> early_chunks;
   std::uint32_t next_chunk = 0;
   std::optional<std::uint32_t> last_chunk;
-  std::string answer;  // Chunks below `next_chunk`, joined.
+  std::string answer;  // Concatenation of the chunks below `next_chunk`.
   std::size_t bytes = 0;
   DurationUs service = 0;
 };
@@ -36,19 +36,21 @@
   RequestId id;
   CallerRequest call;
   bool caller_gone = false;
-  SettingsPtr settings;  // Those it was admitted under.
+  // Settings at the time of admission, used until the request ends.
+  SettingsPtr settings;
   std::shared_ptr<const Event> event;
   TimeUs arrived = 0;
   TimeUs deadline = 0;
   std::uint32_t stage = 0;
   std::uint32_t attempts = 0;
-  std::vector<NodeId> tried;  // In the current stage.
+  std::vector<NodeId> tried;  // Replicas already tried in the current stage.
   std::optional<StageAttempt> attempt;
-  std::string input;  // Of the current stage.
-  // Some stage was or may have been handed over, by this request or by another
-  // copy of its key.
+  std::string input;  // Input of the current stage.
+  // A stage was or may have been sent to an upstream, by this request or by
+  // another copy under the same key.
   bool may_have_run = false;
-  std::string streamed;  // What the caller has been given of the last stage.
+  // Part of the last stage's answer that was sent to the caller.
+  std::string streamed;
   std::vector<StageCost> cost;
   RequestLoad load;
   TraceContext trace;
--- a/src/coordination/interface/pipeline.cc
+++ b/src/coordination/interface/pipeline.cc
@@ -8,14 +8,15 @@
 namespace acaciachute::detail {
 namespace {
 
-// Weight of the newest answer in a replica's moving latency.
-constexpr int kLatencyWeight = 8;
+// Inverse weight of the newest answer time in a replica's moving average.
+constexpr int kLatencyInverseWeight = 8;
 
-// A stage's answer is the next stage's body, so its bound is of the same
-// order as that on callers' bodies; more is a broken upstream that would fill
-// the entry's memory.
+// Maximum size of one stage's answer. The answer is the body of the next stage,
+// so the limit is of the same order as that on callers' bodies; a larger one
+// comes from a faulty upstream and would exhaust the entry's memory.
 constexpr std::size_t kMaxAnswerBytes = 8 << 20;
-// Chunks ahead of their turn; TCP keeps order, so few are.
+// Maximum distance of a chunk ahead of the next expected one; TCP preserves
+// order, so few chunks are early.
 constexpr std::uint32_t kMaxEarlyChunks = 4096;
 
 std::uint64_t Fingerprint(const EntryRequest& request) {
@@ -23,9 +24,10 @@
                           request.event->stages[request.stage].pool);
 }
 
-// What an attempt without an answer says of its replica. A connection refused
-// by the upstream is "not run" to the caller, yet the replica's fault.
-AttemptEnd EndOf(Verdict verdict, Refusal reason) {
+// Classifies an attempt without an answer by what it shows about its replica. A
+// connection refused by the upstream means "not run" to the caller, but is a
+// failure of the replica.
+AttemptEnd ClassifyEnd(Verdict verdict, Refusal reason) {
   if (verdict == Verdict::kNotRun && reason == Refusal::kNoReplica) {
     return AttemptEnd::kUnsent;
   }
@@ -34,7 +36,7 @@
   return fault ? AttemptEnd::kFailed : AttemptEnd::kRefused;
 }
 
-bool Complete(const StageAttempt& attempt) {
+bool IsComplete(const StageAttempt& attempt) {
   return attempt.last_chunk && attempt.next_chunk > *attempt.last_chunk;
 }
 
@@ -77,7 +79,8 @@
     return;
   }
   if (standing == Standing::kSuspect) {
-    // Only a crash at another upstream tells the request from its host.
+    // Only a crash at another upstream shows that the request is the cause and
+    // not the host.
     const auto crashed_at = quarantine_->CrashedAt(fingerprint);
     request.tried.insert(request.tried.end(), crashed_at.begin(),
                          crashed_at.end());
@@ -104,38 +107,38 @@
   output_->SendStage(replica->address.node, MakeCall(now, request));
 }
 
-bool Pipeline::Belongs(const EntryRequest* request,
-                       const NodeId& from,
-                       const StageKey& key,
-                       Incarnation incarnation) {
-  const bool ours = request != nullptr && request->attempt &&
-                    request->attempt->key == key &&
-                    request->attempt->node == from &&
-                    request->attempt->incarnation == incarnation;
-  if (!ours) {
+bool Pipeline::IsCurrentAttempt(const EntryRequest* request,
+                                const NodeId& from,
+                                const StageKey& key,
+                                Incarnation incarnation) {
+  const bool current = request != nullptr && request->attempt &&
+                       request->attempt->key == key &&
+                       request->attempt->node == from &&
+                       request->attempt->incarnation == incarnation;
+  if (!current) {
     metrics_->Count("acaciachute_stale_results_total");
   }
-  return ours;
+  return current;
 }
 
-// Failure: an answer comes late, twice, out of order or for another attempt.
-// Symptom: a caller receives part of an answer, or somebody else's. Only the
-// attempt in progress takes chunks, each number once, and the stage ends when
-// every number up to the last one is there.
+// A stage's answer can arrive late, twice, out of order or for another attempt.
+// To never send a caller an incomplete answer or that of another request, only
+// the attempt in progress accepts chunks, each number once, and the stage ends
+// when all numbers up to the last one have arrived.
 void Pipeline::OnChunk(TimeUs now,
                        EntryRequest* request,
                        const NodeId& from,
                        const StageChunk& chunk) {
-  if (!Belongs(request, from, chunk.key, chunk.sidecar)) {
+  if (!IsCurrentAttempt(request, from, chunk.key, chunk.sidecar)) {
     return;
   }
   StageAttempt& attempt = *request->attempt;
   if (chunk.sequence < attempt.next_chunk ||
-      attempt.early.contains(chunk.sequence)) {
+      attempt.early_chunks.contains(chunk.sequence)) {
     metrics_->Count("acaciachute_duplicate_chunks_total");
     return;
   }
-  if (!TakeChunk(attempt, chunk) || !StreamNew(*request)) {
+  if (!AddChunk(attempt, chunk) || !StreamNewParts(*request)) {
     metrics_->Count("acaciachute_broken_answers_total");
     output_->SendStage(from, StageCancel{attempt.key, attempt.incarnation,
                                          request->deadline - now});
@@ -143,17 +146,19 @@
                 0);
     return;
   }
-  if (Complete(attempt)) {
+  if (IsComplete(attempt)) {
     FinishStage(now, *request);
   }
 }
 
-// False when the chunk cannot belong to one sequence with the others.
-bool Pipeline::TakeChunk(StageAttempt& attempt, const StageChunk& chunk) {
+// Adds a chunk to the answer. Returns false if the chunk contradicts the
+// sequence of those received or exceeds a limit.
+bool Pipeline::AddChunk(StageAttempt& attempt, const StageChunk& chunk) {
   const bool after_last = attempt.last_chunk &&
                           (chunk.last || chunk.sequence > *attempt.last_chunk);
-  const bool last_too_low = chunk.last && !attempt.early.empty() &&
-                            attempt.early.rbegin()->first > chunk.sequence;
+  const bool last_too_low =
+      chunk.last && !attempt.early_chunks.empty() &&
+      attempt.early_chunks.rbegin()->first > chunk.sequence;
   attempt.bytes += chunk.body.size();
   if (after_last || last_too_low || attempt.bytes > kMaxAnswerBytes ||
       chunk.sequence - attempt.next_chunk > kMaxEarlyChunks) {
@@ -163,25 +168,25 @@
   if (chunk.last) {
     attempt.last_chunk = chunk.sequence;
   }
-  attempt.early.emplace(chunk.sequence, chunk.body);
-  for (auto it = attempt.early.begin();
-       it != attempt.early.end() && it->first == attempt.next_chunk;
-       it = attempt.early.erase(it)) {
+  attempt.early_chunks.emplace(chunk.sequence, chunk.body);
+  for (auto it = attempt.early_chunks.begin();
+       it != attempt.early_chunks.end() && it->first == attempt.next_chunk;
+       it = attempt.early_chunks.erase(it)) {
     attempt.answer += it->second;
     ++attempt.next_chunk;
   }
   return true;
 }
 
-// Hands the caller what is new of a streamed answer. After a retry the new
-// attempt first repeats what the caller already has; false when it says
-// something else, because the caller's stream could not be continued by it.
-bool Pipeline::StreamNew(EntryRequest& request) {
+// Sends the caller the new parts of a streamed answer. After a retry the new
+// attempt first repeats what the caller already has; returns false if it
+// differs, because the caller's stream cannot continue with it.
+bool Pipeline::StreamNewParts(EntryRequest& request) {
   const std::string& answer = request.attempt->answer;
   if (!request.Streams()) {
     return true;
   }
-  if (Complete(*request.attempt) && answer.size() < request.streamed.size()) {
+  if (IsComplete(*request.attempt) && answer.size() < request.streamed.size()) {
     metrics_->Count("acaciachute_streams_diverged_total");
     return false;
   }
@@ -220,26 +225,28 @@
                          const NodeId& from,
                          const StageFailure& failure) {
   quarantine_->Merge(now, failure.quarantined);
-  if (Belongs(request, from, failure.key, failure.sidecar)) {
-    // What an upstream's end hands back comes once and cannot feed on itself;
-    // the budget is for retries under load.
-    const bool spend = !failure.crashed && failure.reason != Refusal::kLeaving;
+  if (IsCurrentAttempt(request, from, failure.key, failure.sidecar)) {
+    // Requests returned because an upstream crashed or leaves come back only
+    // once, so their retries cannot amplify themselves; the budget limits
+    // retries under load.
+    const bool spend_retry =
+        !failure.crashed && failure.reason != Refusal::kLeaving;
     FailAttempt(now, *request, failure.verdict, failure.reason,
-                failure.retry_after, spend);
+                failure.retry_after, spend_retry);
   }
 }
 
-// Failure: an attempt ends without an answer. Symptom: a blind retry runs a
-// non-idempotent request twice. Only an attempt that was never handed over, or
-// an idempotent request, goes to another replica, and the retry budget bounds
-// both.
+// Handles an attempt that ended without an answer. A blind retry could run a
+// non-idempotent request twice, so only an attempt that was never sent to the
+// upstream, or an idempotent request, goes to another replica, and the retry
+// budget limits both.
 void Pipeline::FailAttempt(TimeUs now,
                            EntryRequest& request,
                            Verdict verdict,
                            Refusal reason,
                            DurationUs retry_after,
-                           bool spend) {
-  const AttemptEnd end = EndOf(verdict, reason);
+                           bool spend_retry) {
+  const AttemptEnd end = ClassifyEnd(verdict, reason);
   EndAttempt(now, request, Name(reason), end);
   if (verdict != Verdict::kNotRun) {
     request.may_have_run = true;
@@ -247,7 +254,7 @@
   const bool may_repeat =
       verdict == Verdict::kNotRun || request.call.idempotent;
   if (may_repeat && now < request.deadline &&
-      (!spend || load_->TakeRetry(end))) {
+      (!spend_retry || load_->TakeRetry(end))) {
     metrics_->Count("acaciachute_retries_total", Name(reason));
     Start(now, request);
     return;
@@ -277,7 +284,7 @@
   Replica* replica = replicas_->Find(attempt.node);
   load_->OnAttemptEnd(now, &request.load, replica, end, attempt.service);
   if (replica != nullptr) {
-    replica->latency += (took - replica->latency) / kLatencyWeight;
+    replica->latency += (took - replica->latency) / kLatencyInverseWeight;
   }
   const Stage& stage = request.event->stages[request.stage];
   metrics_->Observe("acaciachute_stage_seconds", stage.pool, took);
--- a/src/coordination/interface/pipeline.h
+++ b/src/coordination/interface/pipeline.h
@@ -1,8 +1,8 @@
 // Runs the stages of a request one after another and assembles the answer.
 //
-// Each result carries (request, stage, attempt, sidecar incarnation); whatever
-// belongs to another attempt is dropped and counted, and only a complete
-// sequence of chunks is an answer.
+// Each result carries (request, stage, attempt, sidecar incarnation). Results
+// of any other attempt are dropped and counted, and only a complete sequence of
+// chunks forms an answer.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_PIPELINE_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_PIPELINE_H_
 
@@ -27,11 +27,12 @@
   virtual void StreamPart(const EntryRequest& request,
                           std::string_view part) = 0;
   virtual void ExportSpan(const Span& span) = 0;
-  // The last stage answered.
+  // The last stage answered with `body`.
   virtual void OnPipelineAnswer(TimeUs now,
                                 EntryRequest& request,
                                 std::string body) = 0;
-  // No further attempt is made; `request.may_have_run` says what is known.
+  // The request failed and no further attempt is made; `request.may_have_run`
+  // says whether it may have run.
   virtual void OnPipelineFailure(TimeUs now,
                                  EntryRequest& request,
                                  Refusal reason,
@@ -55,7 +56,7 @@
 
   // Sends the request's current stage to a replica.
   void Start(TimeUs now, EntryRequest& request);
-  // `request` may be null when it is no longer in progress.
+  // `request` is null if the request is no longer in progress.
   void OnChunk(TimeUs now,
                EntryRequest* request,
                const NodeId& from,
@@ -64,27 +65,27 @@
                  EntryRequest* request,
                  const NodeId& from,
                  const StageFailure& failure);
-  // The attempt in progress ended without an answer. `spend`: a retry is paid
-  // for from the budget.
+  // Ends the attempt in progress without an answer. If `spend_retry` is set, a
+  // retry is charged to the retry budget.
   void FailAttempt(TimeUs now,
                    EntryRequest& request,
                    Verdict verdict,
                    Refusal reason,
                    DurationUs retry_after,
-                   bool spend = true);
-  // Nobody waits any longer: the attempt in progress is cancelled through to
-  // the upstream.
+                   bool spend_retry = true);
+  // Cancels the attempt in progress through to the upstream, because no caller
+  // waits for it.
   void Cancel(TimeUs now, EntryRequest& request, Refusal reason);
 
  private:
   Replica* ChooseReplica(TimeUs now, const EntryRequest& request);
   StageCall MakeCall(TimeUs now, const EntryRequest& request) const;
-  bool Belongs(const EntryRequest* request,
-               const NodeId& from,
-               const StageKey& key,
-               Incarnation incarnation);
-  bool TakeChunk(StageAttempt& attempt, const StageChunk& chunk);
-  bool StreamNew(EntryRequest& request);
+  bool IsCurrentAttempt(const EntryRequest* request,
+                        const NodeId& from,
+                        const StageKey& key,
+                        Incarnation incarnation);
+  bool AddChunk(StageAttempt& attempt, const StageChunk& chunk);
+  bool StreamNewParts(EntryRequest& request);
   void FinishStage(TimeUs now, EntryRequest& request);
   void EndAttempt(TimeUs now,
                   EntryRequest& request,
--- a/src/coordination/interface/platform_client.cc
+++ b/src/coordination/interface/platform_client.cc
@@ -25,7 +25,7 @@
   budget.filled_at = now;
   budget.tokens =
       std::min<double>(rule.burst, budget.tokens + passed * rule.per_second);
-  if (budget.tokens < 1 || budget.in_progress >= rule.side_by_side) {
+  if (budget.tokens < 1 || budget.in_progress >= rule.max_concurrent) {
     return false;
   }
   budget.tokens -= 1;
@@ -36,7 +36,7 @@
     TimeUs now,
     StorePurpose purpose) {
   const PurposeRule& rule = Rule(purpose);
-  if (!rule.through_down && !breaker_.Allows(now)) {
+  if (!rule.allowed_while_down && !breaker_.Allows(now)) {
     metrics_->Count("acaciachute_platform_held_back_total", rule.name);
     return std::nullopt;
   }
@@ -63,7 +63,7 @@
                     Rule(it->second).name);
   }
   calls_.erase(it);
-  // A conflict is an answer like any other.
+  // A conflict also shows that the platform answers.
   const bool answered =
       status == StoreStatus::kOk || status == StoreStatus::kConflict;
   breaker_.OnEnd(now, call,
--- a/src/coordination/interface/platform_client.h
+++ b/src/coordination/interface/platform_client.h
@@ -1,10 +1,11 @@
-// Which calls of the platform are made, by purpose, when it is busy, slow or
-// down. The calls themselves are made elsewhere.
+// Decides by purpose which calls to the platform are made when it is busy, slow
+// or down. The calls themselves are made elsewhere.
 //
-// Load pattern: many callers ask for the status of lost answers during an
-// outage, and a hot one never stops. Without budgets these reads take the
-// connections, and the table's rate, that claims need. Each purpose has its own
-// rate and its own places, and what is above them is refused before any effect.
+// During an outage many callers ask for the status of lost answers, and some
+// repeat it without pause. Without budgets these reads would take the
+// connections and the table's rate that claims need. So each purpose has its
+// own rate and number of concurrent calls, and calls above them are refused
+// before any effect.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_PLATFORM_CLIENT_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_PLATFORM_CLIENT_H_
 
@@ -33,16 +34,18 @@
 
 struct PurposeRule {
   std::string_view name;
-  int per_second;     // Calls of this entry.
-  int burst;          // Saved up while idle.
-  int side_by_side;   // Calls in progress at once.
-  bool through_down;  // Made while the platform is down; paced by its owner.
+  int per_second;      // Maximum rate of this entry's calls.
+  int burst;           // Maximum number of calls saved up while idle.
+  int max_concurrent;  // Maximum number of calls in progress.
+  // Calls are made also while the platform is down; their sender limits the
+  // rate.
+  bool allowed_while_down;
 };
 
-// Claims are grouped before they come here and keep to 100 transactions a
-// second; half as much again is the bound should that fail. Settings are read
-// once a second and tell when the platform is back. Leases are renewed every
-// few seconds; the host list is read each ten.
+// Claims are batched before they reach this class, at up to 100 transactions
+// per second; the limit is half as much again in case the batching fails.
+// Settings are read once a second, also to detect that the platform is back.
+// Leases are renewed every few seconds; the host list is read every 10 s.
 inline constexpr std::array<PurposeRule, 5> kPurposeRules = {{
     {"claim_writes", 150, 150, 48, false},
     {"claim_reads", 150, 150, 24, false},
@@ -54,7 +57,7 @@
   return kPurposeRules[static_cast<std::size_t>(v)];
 }
 
-// What a claim transaction is for, by its steps.
+// Returns the purpose of a claim transaction, by its operations.
 StorePurpose PurposeOf(const std::vector<StoreOp>& ops);
 
 class PlatformClient {
@@ -63,8 +66,8 @@
 
   PlatformClient(Random* random, Metrics* metrics);
 
-  // Nothing when the call is not to be made: it then has `kUnavailable`,
-  // because nothing took effect.
+  // Returns nothing if the call must not be made; the operation then fails with
+  // `kUnavailable`, because nothing took effect.
   std::optional<CallId> Start(TimeUs now, StorePurpose purpose);
   void End(TimeUs now, CallId call, StoreStatus status);
 
--- a/src/coordination/interface/quarantine.cc
+++ b/src/coordination/interface/quarantine.cc
@@ -10,19 +10,20 @@
 namespace acaciachute {
 namespace {
 
-// Crashes that a record names; more tell an operator nothing new.
-constexpr std::size_t kMostCrashes = 4;
+// Maximum number of crashes listed in a record; more do not help an operator.
+constexpr std::size_t kMaxCrashesPerRecord = 4;
 
-constexpr std::size_t kMostAccountSize = 64;
+constexpr std::size_t kMaxAccountBytes = 64;
 
-// A cleared record outlives every suspicion and conviction that it clears, so
-// that an old word cannot come back.
-constexpr std::array<DurationUs, kStandingNames.size()> kKeptFor = {
-    Quarantine::kConvictedFor, Quarantine::kSuspectFor,
-    Quarantine::kConvictedFor};
+// Lifetime of a record by its state. A cleared record outlives every suspicion
+// and conviction that it clears, so that a delayed copy of one cannot restore
+// it.
+constexpr std::array<DurationUs, kStandingNames.size()> kRecordLifetime = {
+    Quarantine::kConvictionDuration, Quarantine::kSuspicionDuration,
+    Quarantine::kConvictionDuration};
 
-void AddOnce(const NodeId& node, std::vector<NodeId>* nodes) {
-  if (nodes->size() < kMostCrashes &&
+void AddIfAbsent(const NodeId& node, std::vector<NodeId>* nodes) {
+  if (nodes->size() < kMaxCrashesPerRecord &&
       std::find(nodes->begin(), nodes->end(), node) == nodes->end()) {
     nodes->push_back(node);
   }
@@ -33,7 +34,7 @@
 std::uint64_t StageFingerprint(std::string_view account,
                                std::string_view body,
                                std::string_view pool) {
-  // The size keeps account and pool apart.
+  // The size prefix separates account and pool unambiguously.
   return BodyHash(StrCat(account.size(), ":", account, pool), body) | 1;
 }
 
@@ -46,9 +47,9 @@
   return text;
 }
 
-bool Quarantine::IsOver(TimeUs now, const Entry& entry) {
+bool Quarantine::IsExpired(TimeUs now, const Entry& entry) {
   return now - entry.changed_at >=
-         kKeptFor[static_cast<std::size_t>(entry.standing)];
+         kRecordLifetime[static_cast<std::size_t>(entry.standing)];
 }
 
 QuarantineRecord Quarantine::ToRecord(TimeUs now,
@@ -61,8 +62,9 @@
 
 Standing Quarantine::Of(TimeUs now, std::uint64_t fingerprint) const {
   const auto it = records_.find(fingerprint);
-  return it == records_.end() || IsOver(now, it->second) ? Standing::kClear
-                                                         : it->second.standing;
+  return it == records_.end() || IsExpired(now, it->second)
+             ? Standing::kClear
+             : it->second.standing;
 }
 
 std::vector<NodeId> Quarantine::CrashedAt(std::uint64_t fingerprint) const {
@@ -79,11 +81,12 @@
   return text;
 }
 
-Quarantine::Entry& Quarantine::Touch(TimeUs now, std::uint64_t fingerprint) {
+Quarantine::Entry& Quarantine::FindOrAdd(TimeUs now,
+                                         std::uint64_t fingerprint) {
   const auto it = records_.find(fingerprint);
   if (it == records_.end()) {
-    MakeRoom(now);
-  } else if (IsOver(now, it->second)) {
+    EvictIfFull(now);
+  } else if (IsExpired(now, it->second)) {
     it->second = {};
   }
   Entry& entry = records_[fingerprint];
@@ -100,34 +103,34 @@
   }
   for (const auto& [fingerprint, suspect] : distinct) {
     if (fingerprint != 0) {
-      Blame(now, node, suspect, /*alone=*/distinct.size() == 1);
+      AddCrash(now, node, suspect, /*alone=*/distinct.size() == 1);
     }
   }
 }
 
-void Quarantine::Blame(TimeUs now,
-                       const NodeId& node,
-                       const Suspect& suspect,
-                       bool alone) {
-  Entry& entry = Touch(now, suspect.fingerprint);
+void Quarantine::AddCrash(TimeUs now,
+                          const NodeId& node,
+                          const Suspect& suspect,
+                          bool alone) {
+  Entry& entry = FindOrAdd(now, suspect.fingerprint);
   const bool elsewhere =
       std::any_of(entry.crashed_at.begin(), entry.crashed_at.end(),
                   [&](const NodeId& it) { return it != node; });
   entry.standing =
       std::max(entry.standing,
                alone && elsewhere ? Standing::kConvicted : Standing::kSuspect);
-  entry.account = suspect.account.substr(0, kMostAccountSize);
-  AddOnce(node, &entry.crashed_at);
+  entry.account = suspect.account.substr(0, kMaxAccountBytes);
+  AddIfAbsent(node, &entry.crashed_at);
 }
 
 void Quarantine::Clear(TimeUs now, std::uint64_t fingerprint) {
-  Entry& entry = Touch(now, fingerprint);
+  Entry& entry = FindOrAdd(now, fingerprint);
   ++entry.epoch;
   entry.standing = Standing::kClear;
   entry.crashed_at.clear();
 }
 
-void Quarantine::OnAnsweredApart(TimeUs now, std::uint64_t fingerprint) {
+void Quarantine::OnAnsweredAlone(TimeUs now, std::uint64_t fingerprint) {
   if (Of(now, fingerprint) == Standing::kSuspect) {
     Clear(now, fingerprint);
   }
@@ -146,17 +149,17 @@
   bool changed = false;
   for (const QuarantineRecord& it : records) {
     if (it.standing > Standing::kConvicted) {
-      continue;  // A standing of another build.
+      continue;  // A state that this build does not know.
     }
     const Entry theirs = {it.epoch, it.standing,
                           now - std::max<DurationUs>(0, it.age), it.account,
                           it.crashed_at};
-    if (it.fingerprint == 0 || IsOver(now, theirs)) {
+    if (it.fingerprint == 0 || IsExpired(now, theirs)) {
       continue;
     }
     const auto ours = records_.find(it.fingerprint);
     if (ours == records_.end()) {
-      MakeRoom(now);
+      EvictIfFull(now);
       records_[it.fingerprint] = theirs;
       changed = true;
       continue;
@@ -171,7 +174,7 @@
     } else if (rank(theirs) == rank(entry)) {
       entry.changed_at = std::max(entry.changed_at, theirs.changed_at);
       for (const NodeId& node : it.crashed_at) {
-        AddOnce(node, &entry.crashed_at);
+        AddIfAbsent(node, &entry.crashed_at);
       }
     }
   }
@@ -180,35 +183,35 @@
 
 std::vector<QuarantineRecord> Quarantine::Told(TimeUs now) {
   std::erase_if(records_,
-                [now](const auto& it) { return IsOver(now, it.second); });
+                [now](const auto& it) { return IsExpired(now, it.second); });
   std::vector<QuarantineRecord> all;
   for (const auto& [fingerprint, entry] : records_) {
     all.push_back(ToRecord(now, fingerprint, entry));
   }
-  if (all.size() <= kTold) {
+  if (all.size() <= kMaxRecordsPerHeartbeat) {
     return all;
   }
   const auto newest = [](const QuarantineRecord& a, const QuarantineRecord& b) {
     return a.age < b.age;
   };
-  std::vector<QuarantineRecord> told(kTold / 2);
-  std::partial_sort_copy(all.begin(), all.end(), told.begin(), told.end(),
-                         newest);
-  auto it = records_.upper_bound(told_last_);
-  while (told.size() < kTold) {
+  std::vector<QuarantineRecord> selected(kMaxRecordsPerHeartbeat / 2);
+  std::partial_sort_copy(all.begin(), all.end(), selected.begin(),
+                         selected.end(), newest);
+  auto it = records_.upper_bound(last_rotated_);
+  while (selected.size() < kMaxRecordsPerHeartbeat) {
     it = it == records_.end() ? records_.begin() : it;
-    told.push_back(ToRecord(now, it->first, it->second));
-    told_last_ = it->first;
+    selected.push_back(ToRecord(now, it->first, it->second));
+    last_rotated_ = it->first;
     ++it;
   }
-  return told;
+  return selected;
 }
 
 std::vector<QuarantineRecord> Quarantine::RecordOf(
     TimeUs now,
     std::uint64_t fingerprint) const {
   const auto it = records_.find(fingerprint);
-  if (it == records_.end() || IsOver(now, it->second)) {
+  if (it == records_.end() || IsExpired(now, it->second)) {
     return {};
   }
   return {ToRecord(now, fingerprint, it->second)};
@@ -224,10 +227,10 @@
   return all;
 }
 
-// Drops the record that can best be done without: a cleared one before a
-// suspect, a suspect before a convict, the oldest among equals.
-void Quarantine::MakeRoom(TimeUs now) {
-  if (records_.size() < kMost) {
+// Makes space for a new record: evicts a cleared one before a suspect, a
+// suspect before a convicted one, and the oldest among equals.
+void Quarantine::EvictIfFull(TimeUs now) {
+  if (records_.size() < kMaxRecords) {
     return;
   }
   records_.erase(std::min_element(
--- a/src/coordination/interface/quarantine.h
+++ b/src/coordination/interface/quarantine.h
@@ -1,22 +1,23 @@
-// Requests that crash the upstreams that run them.
+// Isolates requests that crash the upstreams that run them.
 //
-// Load pattern: one request ends each upstream it reaches, and its caller sends
-// it again, through another entry and a new connection. Without a quarantine
-// each try costs a replica and everything in progress there: at nine replicas a
-// pool is gone in nine tries.
+// A request that crashes each upstream it reaches is sent again by its caller
+// through another entry and a new connection. Without a quarantine each attempt
+// costs a replica and every request in progress there: a pool of nine replicas
+// is gone after nine attempts.
 //
-// A crash makes every request in progress a suspect, as it cannot tell which
-// one did it. Suspects run apart, each alone at an upstream that has not
-// crashed under it yet; what answers there is cleared, what crashes there too
-// is convicted and refused everywhere. So no request is convicted for the
-// company it was in, and a caller that waits for its answer before it sends
-// again costs two replicas. Of copies sent at once, before the first crash is
-// known (one way through the network), each may cost two.
+// A crash makes every request in progress a suspect, as it does not show which
+// one caused it. Each suspect runs alone, at an upstream that has not crashed
+// under it yet; if it is answered there it is cleared, if that upstream crashes
+// too it is convicted and refused at every node. So no request is convicted
+// because of others that ran beside it, and a caller that waits for its answer
+// before it resends costs two replicas. Of copies sent before the first crash
+// is known (one network delay), each may cost two.
 //
-// Records spread with heartbeats. Clearing one raises its epoch; the higher
-// epoch wins, within one the worse standing, and crashes are joined, so nodes
-// agree in whatever order they hear. A record is about one request in one pool:
-// a request that passes the encoders unharmed may yet crash every generator.
+// Records spread with heartbeats. Clearing a record raises its epoch. The
+// higher epoch wins, within one epoch the worse state, and the lists of crashes
+// are merged, so nodes converge whatever the order of messages. A record is
+// about one request in one pool: a request that passes the encoders unharmed
+// may still crash every generator.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_QUARANTINE_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_QUARANTINE_H_
 
@@ -31,27 +32,30 @@
 
 namespace acaciachute {
 
-// Names a request of `account` in `pool`, the same at every node. Never zero.
+// Identifies a request of `account` in `pool`, with the same value at every
+// node. Never zero.
 std::uint64_t StageFingerprint(std::string_view account,
                                std::string_view body,
                                std::string_view pool);
 
-// Sixteen hex digits, as operators see and type it.
+// Formats a fingerprint as sixteen hex digits, as operators see and type it.
 std::string FingerprintText(std::uint64_t fingerprint);
 
 class Quarantine {
  public:
-  // A conviction ends by itself: the engine that it crashed is mended or
-  // replaced by then, or the next two tries convict it again.
-  static constexpr DurationUs kConvictedFor = 3600 * kSecond;
-  // Long enough for a caller's resends, which come within minutes.
-  static constexpr DurationUs kSuspectFor = 600 * kSecond;
-  // Records kept, under 200 bytes each. A crash adds at most a batch of them,
-  // so that is more than a hundred crashes within the hour.
-  static constexpr std::size_t kMost = 4096;
-  // Records told in one heartbeat, under 2 KB: half of them the newest, the
-  // rest in turn, so that a node that starts late hears of all.
-  static constexpr std::size_t kTold = 16;
+  // Lifetime of a conviction. By then the engine that crashed is fixed or
+  // replaced; otherwise the next two attempts convict the request again.
+  static constexpr DurationUs kConvictionDuration = 3600 * kSecond;
+  // Lifetime of a suspicion; a caller's resends come within minutes.
+  static constexpr DurationUs kSuspicionDuration = 600 * kSecond;
+  // Maximum number of records, under 200 bytes each. A crash adds at most one
+  // batch of requests, so this is enough for more than a hundred crashes per
+  // hour.
+  static constexpr std::size_t kMaxRecords = 4096;
+  // Maximum number of records in one heartbeat, under 2 KB. Half of them are
+  // the newest, the others are sent in rotation, so that a node that starts
+  // late receives all of them.
+  static constexpr std::size_t kMaxRecordsPerHeartbeat = 16;
 
   struct Suspect {
     std::uint64_t fingerprint = 0;
@@ -62,27 +66,29 @@
   // Upstreams that crashed with the request in progress.
   std::vector<NodeId> CrashedAt(std::uint64_t fingerprint) const;
 
-  // What a caller or an operator is told of a conviction.
+  // Text that explains a conviction to a caller or an operator.
   std::string Explain(std::uint64_t fingerprint) const;
 
-  // The upstream at `node` died with `in_progress`, which may name a request
-  // twice, and nothing else.
+  // The upstream at `node` crashed with exactly the requests `in_progress`,
+  // which may list a request twice.
   void OnCrash(TimeUs now,
                const NodeId& node,
                const std::vector<Suspect>& in_progress);
-  // It ran alone and answered.
-  void OnAnsweredApart(TimeUs now, std::uint64_t fingerprint);
-  // An operator's word. False when there is no such conviction or suspicion.
+  // A suspect ran alone at an upstream and was answered.
+  void OnAnsweredAlone(TimeUs now, std::uint64_t fingerprint);
+  // An operator cleared the request. Returns false if it was neither suspected
+  // nor convicted.
   bool Lift(TimeUs now, std::uint64_t fingerprint);
 
-  // Takes over what another node knows better; true when that changed anything.
+  // Merges records of another node; returns true if any record changed.
   bool Merge(TimeUs now, const std::vector<QuarantineRecord>& records);
-  // What the next heartbeat tells.
+  // Returns the records to send with the next heartbeat.
   std::vector<QuarantineRecord> Told(TimeUs now);
-  // One record as it stands, for the failure that tells of a crash.
+  // Returns the record of one request, to attach to stage calls and to failures
+  // after a crash; empty if there is none.
   std::vector<QuarantineRecord> RecordOf(TimeUs now,
                                          std::uint64_t fingerprint) const;
-  // Suspects and convicts, for operators.
+  // Returns the suspected and convicted requests, for operators.
   std::vector<QuarantineRecord> All(TimeUs now) const;
   std::size_t size() const { return records_.size(); }
 
@@ -94,20 +100,20 @@
     std::string account;
     std::vector<NodeId> crashed_at;
   };
-  static bool IsOver(TimeUs now, const Entry& entry);
+  static bool IsExpired(TimeUs now, const Entry& entry);
   static QuarantineRecord ToRecord(TimeUs now,
                                    std::uint64_t fingerprint,
                                    const Entry& entry);
-  Entry& Touch(TimeUs now, std::uint64_t fingerprint);
+  Entry& FindOrAdd(TimeUs now, std::uint64_t fingerprint);
   void Clear(TimeUs now, std::uint64_t fingerprint);
-  void Blame(TimeUs now,
-             const NodeId& node,
-             const Suspect& suspect,
-             bool alone);
-  void MakeRoom(TimeUs now);
+  void AddCrash(TimeUs now,
+                const NodeId& node,
+                const Suspect& suspect,
+                bool alone);
+  void EvictIfFull(TimeUs now);
 
   std::map<std::uint64_t, Entry> records_;
-  std::uint64_t told_last_ = 0;
+  std::uint64_t last_rotated_ = 0;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/interface/store_calls.h
+++ b/src/coordination/interface/store_calls.h
@@ -1,7 +1,7 @@
-// Calls to the platform's table with their continuations.
+// Matches answers of the platform's table to the continuations of their calls.
 //
-// An answer is taken once: a second one under the same ticket, or one for a
-// call of a predecessor, finds no continuation and is dropped.
+// Each answer is delivered once: a second one under the same ticket, or one for
+// a call of a previous incarnation, has no continuation and is dropped.
 #ifndef ACACIACHUTE_SRC_COORDINATION_INTERFACE_STORE_CALLS_H_
 #define ACACIACHUTE_SRC_COORDINATION_INTERFACE_STORE_CALLS_H_
 
@@ -15,7 +15,7 @@
 
 namespace acaciachute {
 
-// The driver's side of a call to the table.
+// Driver interface for calls to the table.
 class StoreOutput {
  public:
   virtual ~StoreOutput() = default;
@@ -30,24 +30,24 @@
 
   void Call(std::vector<StoreOp> ops, DoneFn done) {
     const StoreTicket ticket = next_ticket_++;
-    waiting_[ticket] = std::move(done);
+    pending_[ticket] = std::move(done);
     output_->CallStore(ticket, std::move(ops));
   }
 
   void OnAnswer(TimeUs now, StoreTicket ticket, const StoreAnswer& answer) {
-    const auto it = waiting_.find(ticket);
-    if (it == waiting_.end()) {
+    const auto it = pending_.find(ticket);
+    if (it == pending_.end()) {
       return;
     }
     const DoneFn done = std::move(it->second);
-    waiting_.erase(it);
+    pending_.erase(it);
     done(now, answer);
   }
 
  private:
   StoreOutput* const output_;
   StoreTicket next_ticket_ = 1;
-  absl::flat_hash_map<StoreTicket, DoneFn> waiting_;
+  absl::flat_hash_map<StoreTicket, DoneFn> pending_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/sidecar/sidecar_upstream.cc
+++ b/src/coordination/sidecar/sidecar_upstream.cc
@@ -26,7 +26,7 @@
   limit.OnAnswer(now, service, Occupied());
   times.OnAnswer(item.call, service);
   if (item.apart) {
-    quarantine.OnAnsweredApart(now, item.call.fingerprint);
+    quarantine.OnAnsweredAlone(now, item.call.fingerprint);
   }
   ExportSpan(now, item, "answered");
   Forget(now, key);
--- a/tests/platform_client_test.cc
+++ b/tests/platform_client_test.cc
@@ -66,7 +66,7 @@
 // refused after a second instead of at its own timeout.
 TEST_F(PlatformClientTest, SilenceIsDown) {
   ASSERT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));
-  now_ += Breaker::kSilence + kMillisecond;
+  now_ += Breaker::kUnansweredTimeout + kMillisecond;
   EXPECT_EQ(client_.state(now_), PlatformState::kDown);
   EXPECT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));  // Tries it.
   EXPECT_FALSE(client_.Start(now_, StorePurpose::kClaimWrites));
@@ -89,7 +89,7 @@
   for (int n = 0; n < 1000; ++n) {
     reads += client_.Start(now_, StorePurpose::kClaimReads) ? 1 : 0;
   }
-  EXPECT_EQ(reads, Rule(StorePurpose::kClaimReads).side_by_side);
+  EXPECT_EQ(reads, Rule(StorePurpose::kClaimReads).max_concurrent);
   EXPECT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));
 }
 
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -282,12 +282,13 @@
 TEST(QuarantineTest, MemoryIsBounded) {
   Quarantine quarantine;
   quarantine.Merge(kSecond, {{1, 1, Standing::kConvicted, 0, "a", {"x"}}});
-  for (std::uint64_t n = 2; n < 3 * Quarantine::kMost; ++n) {
+  for (std::uint64_t n = 2; n < 3 * Quarantine::kMaxRecords; ++n) {
     quarantine.OnCrash(2 * kSecond, "x", {{n, "a"}, {n + 1, "a"}});
   }
-  EXPECT_EQ(quarantine.size(), Quarantine::kMost);
+  EXPECT_EQ(quarantine.size(), Quarantine::kMaxRecords);
   EXPECT_EQ(quarantine.Of(2 * kSecond, 1), Standing::kConvicted);
-  EXPECT_EQ(quarantine.Told(2 * kSecond).size(), Quarantine::kTold);
+  EXPECT_EQ(quarantine.Told(2 * kSecond).size(),
+            Quarantine::kMaxRecordsPerHeartbeat);
 }
 
 // A node that starts late hears of every record in turn, though a heartbeat
