--- a/src/coordination/sidecar/leaving.cc
+++ b/src/coordination/sidecar/leaving.cc
@@ -10,40 +10,40 @@
   return static_cast<std::size_t>(route);
 }
 
-// Whether a route's later word may take back an earlier one.
-constexpr std::array<bool, kLeaveRouteNames.size()> kTakenBack = {
+// Whether a later report of the route may revoke an earlier one.
+constexpr std::array<bool, kLeaveRouteNames.size()> kRevocable = {
     true, true, true, false, false};
 
 }  // namespace
 
-void Leaving::OnWord(TimeUs now, LeaveRoute route, bool leaving) {
+void Leaving::OnLeaveReport(TimeUs now, LeaveRoute route, bool leaving) {
   if (route == LeaveRoute::kEntry) {
-    // Several entries speak; one that has not heard does not outvote one that
-    // has, so this word only ages.
+    // Several entries report, and one with an outdated list must not override
+    // one that knows that the upstream leaves. So this report only expires.
     if (leaving) {
-      said_[Index(route)] = true;
-      entry_word_at_ = now;
+      reported_leaving_[Index(route)] = true;
+      entry_report_at_ = now;
     }
     return;
   }
-  if (leaving || kTakenBack[Index(route)]) {
-    said_[Index(route)] = leaving;
+  if (leaving || kRevocable[Index(route)]) {
+    reported_leaving_[Index(route)] = leaving;
   }
 }
 
-void Leaving::OnReport(TimeUs asked_at, bool reachable) {
-  reported_ = true;
+void Leaving::OnReport(TimeUs requested_at, bool reachable) {
+  has_upstream_report_ = true;
   reachable_ = reachable;
   if (reachable) {
-    report_asked_at_ = std::max(report_asked_at_, asked_at);
+    report_requested_at_ = std::max(report_requested_at_, requested_at);
   }
 }
 
 bool Leaving::IsLeaving(TimeUs now) const {
-  for (std::size_t n = 0; n < said_.size(); ++n) {
-    const bool aged =
-        n == Index(LeaveRoute::kEntry) && now - entry_word_at_ >= kEntryWordAge;
-    if (said_[n] && !aged) {
+  for (std::size_t n = 0; n < reported_leaving_.size(); ++n) {
+    const bool expired = n == Index(LeaveRoute::kEntry) &&
+                         now - entry_report_at_ >= kMaxEntryReportAge;
+    if (reported_leaving_[n] && !expired) {
       return true;
     }
   }
@@ -51,17 +51,18 @@
 }
 
 bool Leaving::IsReachable(TimeUs now) const {
-  return !reported_ || (reachable_ && now - report_asked_at_ < kReportMaxAge);
+  return !has_upstream_report_ ||
+         (reachable_ && now - report_requested_at_ < kMaxReportAge);
 }
 
 TimeUs Leaving::NextChange(TimeUs now) const {
   TimeUs next = std::numeric_limits<TimeUs>::max();
-  if (reported_ && IsReachable(now)) {
-    next = report_asked_at_ + kReportMaxAge;
+  if (has_upstream_report_ && IsReachable(now)) {
+    next = report_requested_at_ + kMaxReportAge;
   }
-  if (said_[Index(LeaveRoute::kEntry)] &&
-      now - entry_word_at_ < kEntryWordAge) {
-    next = std::min(next, entry_word_at_ + kEntryWordAge);
+  if (reported_leaving_[Index(LeaveRoute::kEntry)] &&
+      now - entry_report_at_ < kMaxEntryReportAge) {
+    next = std::min(next, entry_report_at_ + kMaxEntryReportAge);
   }
   return next;
 }
--- a/src/coordination/sidecar/leaving.h
+++ b/src/coordination/sidecar/leaving.h
@@ -1,14 +1,15 @@
-// Whether the upstream beside a sidecar may be given anything new.
+// Decides whether the upstream of this sidecar may be given new work.
 //
-// Load pattern: an upstream is about to be replaced while entries, whose lists
-// lag by up to 30 s, go on sending to it. Without this guard their work starts
-// on a host that is taken away under it. The sidecar hears by several routes
-// and the first one that tells it counts; silence counts too.
+// When an upstream is about to be replaced, entries continue to send to it,
+// because their replica lists lag by up to 30 s; their work would start on a
+// host that is about to be removed. The sidecar learns of it by several routes,
+// and the first one that reports it counts. An upstream that does not answer
+// gets no new work either.
 //
-// The bound: nothing starts on an upstream more than `kReportMaxAge` after it
-// last said that it was ready. A report's age is counted from when it was asked
-// for, so that a slow answer cannot stretch it. By another route alone the
-// bound is that route's own lag and nothing on top of it.
+// Guarantee: no call starts at an upstream more than `kMaxReportAge` after its
+// last report that it was ready. The age of a report counts from its request,
+// so that a slow answer does not extend it. For an upstream that is reported as
+// leaving by another route only, the delay is the lag of that route.
 #ifndef ACACIACHUTE_SRC_COORDINATION_SIDECAR_LEAVING_H_
 #define ACACIACHUTE_SRC_COORDINATION_SIDECAR_LEAVING_H_
 
@@ -28,31 +29,35 @@
 
 class Leaving {
  public:
-  // The upstream is asked five times a second and each question is given up
-  // after one; two seconds outlast one lost answer.
-  static constexpr DurationUs kReportMaxAge = 2 * kSecond;
-  // Entries repeat their word five times a second. One that read an old list
-  // and fell silent must not keep a healthy upstream out for ever.
-  static constexpr DurationUs kEntryWordAge = 5 * kSecond;
-
-  // A route says that the upstream leaves, or that it does not (any longer).
-  // The signal and an order are never taken back.
-  void OnWord(TimeUs now, LeaveRoute route, bool leaving);
-  // The upstream answered the question asked at `asked_at`.
-  void OnReport(TimeUs asked_at, bool reachable);
+  // Maximum age of the upstream's last report. The upstream is polled five
+  // times a second and each request times out after one second, so two seconds
+  // outlast one lost answer.
+  static constexpr DurationUs kMaxReportAge = 2 * kSecond;
+  // Lifetime of an entry's report that the upstream leaves. Entries repeat it
+  // five times a second. An entry that read an outdated list and then stopped
+  // must not exclude a healthy upstream for ever.
+  static constexpr DurationUs kMaxEntryReportAge = 5 * kSecond;
+
+  // A route reports that the upstream leaves, or that it does not or no longer
+  // leaves. The signal and an order are irrevocable.
+  void OnLeaveReport(TimeUs now, LeaveRoute route, bool leaving);
+  // The upstream answered or failed to answer the status request sent at
+  // `requested_at`.
+  void OnReport(TimeUs requested_at, bool reachable);
 
   bool IsLeaving(TimeUs now) const;
-  // Whether the upstream is known to be there. True until the first report, so
-  // that a core can be driven without reports.
+  // Whether the upstream is known to be reachable. True until the first report,
+  // so that tests can run a sidecar without reports.
   bool IsReachable(TimeUs now) const;
-  // When the answers above may change by time alone.
+  // Earliest time after `now` at which `IsLeaving` or `IsReachable` may change
+  // without a new report.
   TimeUs NextChange(TimeUs now) const;
 
  private:
-  std::array<bool, kLeaveRouteNames.size()> said_{};
-  TimeUs entry_word_at_ = 0;
-  TimeUs report_asked_at_ = 0;
-  bool reported_ = false;
+  std::array<bool, kLeaveRouteNames.size()> reported_leaving_{};
+  TimeUs entry_report_at_ = 0;
+  TimeUs report_requested_at_ = 0;
+  bool has_upstream_report_ = false;
   bool reachable_ = false;
 };
 
--- a/src/coordination/sidecar/sidecar.cc
+++ b/src/coordination/sidecar/sidecar.cc
@@ -10,23 +10,24 @@
 namespace acaciachute {
 namespace {
 
-// Least time after which a refused call may come back. Shorter would only move
-// the waiting from this queue into the network.
+// Minimum retry delay of a refused call. A shorter one would only move the wait
+// from this queue into the network.
 constexpr DurationUs kMinRetryAfter = 200 * kMillisecond;
 
-// A copy that comes after its deadline is refused by its age; a tombstone
-// outlives the deadline by what an age may be wrong by, with room to spare.
-constexpr DurationUs kTombstoneSlack = 5 * kSecond;
+// Margin by which a tombstone outlives the deadline, well above the error of a
+// call's measured age. Copies that arrive after their deadline are refused by
+// age.
+constexpr DurationUs kTombstoneMargin = 5 * kSecond;
 
-// A call that may not be repeated is not cut at its deadline: the upstream
-// would stop half-way through an order. Its slot stays taken until it ends, or
-// until this long after, when the upstream is taken to have lost it.
-constexpr DurationUs kOverrun = 30 * kSecond;
+// Maximum time that a non-idempotent call keeps its slot after its deadline. It
+// is not interrupted at the deadline, because the upstream would stop half-way
+// through an order; after this time the upstream is assumed to have lost it.
+constexpr DurationUs kMaxOverrunDuration = 30 * kSecond;
 
-// How long slots are kept free for a call that must run apart. Calls behind it
-// wait no longer than this and one service; after it the call is handed back,
-// to try a replica with shorter jobs.
-constexpr DurationUs kApartHold = 500 * kMillisecond;
+// Maximum time for which slots are kept free for an isolated call. Calls behind
+// it wait at most this long plus one service time; after it the call is refused
+// here so that it can try a replica with shorter jobs.
+constexpr DurationUs kIsolationHoldDuration = 500 * kMillisecond;
 
 }  // namespace
 
@@ -38,22 +39,22 @@
       metrics(counters),
       limit(options.limit) {}
 
-// Failure: this process wakes from a pause and handles what its buffers hold in
-// any order. Symptom: an answer frees a slot and a call whose time is over, or
-// whose upstream began to leave in the meantime, is started. Whatever the input
-// is, what time alone has changed comes first.
-void Sidecar::Impl::BeforeInput(TimeUs now) {
+// Applies timeouts before each input. After a suspension this process handles
+// the contents of its buffers in any order: an answer may free a slot and start
+// a call whose deadline has passed, or whose upstream has begun to leave in the
+// meantime.
+void Sidecar::Impl::ApplyTimeouts(TimeUs now) {
   clock = std::max(clock, now);
-  EndLate(now);
-  EndApartHold(now);
+  EndExpired(now);
+  EndIsolationHold(now);
   tombstones.Expire(now);
-  if (const Refusal reason = Closed(now); reason != Refusal::kNone) {
-    HandBackWaiting(now, reason);
+  if (const Refusal reason = ClosedReason(now); reason != Refusal::kNone) {
+    RefuseWaiting(now, reason);
   }
 }
 
-// Why nothing new may be started; `kNone` when it may.
-Refusal Sidecar::Impl::Closed(TimeUs now) const {
+// Returns why no new call may start; `kNone` if calls may start.
+Refusal Sidecar::Impl::ClosedReason(TimeUs now) const {
   if (leaving.IsLeaving(now) || state == NodeState::kLeaving) {
     return Refusal::kLeaving;
   }
@@ -62,9 +63,9 @@
              : Refusal::kNoReplica;
 }
 
-void Sidecar::Impl::HandBackWaiting(TimeUs now, Refusal reason) {
-  while (!apart_waiting.empty()) {
-    EndWaiting(now, StageKey(apart_waiting.front()), reason);
+void Sidecar::Impl::RefuseWaiting(TimeUs now, Refusal reason) {
+  while (!isolated_waiting.empty()) {
+    EndWaiting(now, StageKey(isolated_waiting.front()), reason);
   }
   while (const auto next = queue.Pop()) {
     EndWaiting(now, next->key, reason);
@@ -74,8 +75,8 @@
 void Sidecar::Impl::OnCall(TimeUs now,
                            const NodeId& from,
                            const StageCall& call) {
-  // Failure: a call for a predecessor of this process arrives here. Symptom: a
-  // copy of it may have run there, so "not run" could be false.
+  // The call was sent to a previous incarnation of this process. A copy of it
+  // may have run there, so "not run" could be false.
   if (call.sidecar != options.incarnation) {
     metrics->Count("acaciachute_sidecar_wrong_incarnation_total");
     StageFailure failure;
@@ -85,8 +86,9 @@
     output->Send(from, failure);
     return;
   }
-  // Failure: the network delivers a call twice, or after its cancel. Symptom: a
-  // second run, or a run after "not run" was told. A key is taken once.
+  // The network may deliver a call twice, or after its cancellation; the call
+  // would run a second time, or after "not run" was answered. So each key is
+  // accepted once.
   if (work.contains(call.key) || tombstones.Contains(call.key)) {
     metrics->Count("acaciachute_sidecar_duplicates_total");
     return;
@@ -100,12 +102,12 @@
   item.received = now;
   item.deadline = now + call.time_left - age;
   item.is_long = times.IsLong(call);
-  item.apart = standing == Standing::kSuspect;
-  if (tombstones.MayBeDropped(call.key)) {
+  item.isolated = standing == Standing::kSuspect;
+  if (tombstones.MayBeEvicted(call.key)) {
     Fail(now, item, Verdict::kMayHaveRun, Refusal::kFull);
     return;
   }
-  Refusal reason = Closed(now);
+  Refusal reason = ClosedReason(now);
   if (standing == Standing::kConvicted) {
     reason = Refusal::kQuarantined;
   } else if (reason == Refusal::kNone && item.deadline <= now) {
@@ -121,22 +123,22 @@
 }
 
 void Sidecar::Impl::Enqueue(TimeUs now, Work item) {
-  if (queue.size() + apart_waiting.size() >= options.max_queued) {
-    // Failure: the queue is full of patient work when urgent work comes.
-    // Symptom: the urgent call is refused behind work that can wait.
-    const auto out = item.call.caller_class == CallerClass::kUrgent
-                         ? queue.PopLastPatient()
-                         : std::nullopt;
-    if (!out) {
+  if (queue.size() + isolated_waiting.size() >= options.max_queued) {
+    // If the queue is full of patient calls, an urgent call replaces one of
+    // them instead of being refused behind work that can wait.
+    const auto evicted = item.call.caller_class == CallerClass::kUrgent
+                             ? queue.PopLastPatient()
+                             : std::nullopt;
+    if (!evicted) {
       Refuse(now, item, Refusal::kFull);
       return;
     }
-    EndWaiting(now, out->key, Refusal::kFull);
+    EndWaiting(now, evicted->key, Refusal::kFull);
   }
   const StageKey key = item.call.key;
   deadlines.emplace(item.deadline, key);
-  if (item.apart) {
-    apart_waiting.push_back(key);
+  if (item.isolated) {
+    isolated_waiting.push_back(key);
   } else {
     queue.Push({key, item.call.caller_class, item.deadline, item.is_long});
   }
@@ -144,9 +146,9 @@
   StartWaiting(now);
 }
 
-// Work that would end after its deadline costs a slot and helps nobody. An idle
-// upstream takes a call in any case: an estimate that went wrong would
-// otherwise refuse all work for ever, as only answers correct it.
+// Whether the call can end by its deadline; one that cannot would occupy a slot
+// without use. An idle upstream accepts a call in any case: a wrong estimate
+// would otherwise refuse all calls for ever, because only answers correct it.
 bool Sidecar::Impl::CanMeetDeadline(TimeUs now, const Work& item) const {
   return Occupied() == 0 ||
          now + ExpectedWait(item) + times.Expected(item.call) <= item.deadline;
@@ -161,7 +163,7 @@
   return ahead * times.Mean() / limit.Current();
 }
 
-// When the calls that wait now will have been started.
+// Estimated time until all calls that wait now have started.
 DurationUs Sidecar::Impl::RetryAfter() const {
   const auto waiting = static_cast<DurationUs>(queue.size() + 1);
   return std::max(kMinRetryAfter, waiting * times.Mean() / limit.Current());
@@ -172,9 +174,9 @@
 }
 
 void Sidecar::Impl::StartWaiting(TimeUs now) {
-  while (crash_check_at == 0 && !apart_running) {
-    if (ApartIsNext()) {
-      if (!StartApart(now)) {
+  while (crash_check_at == 0 && !isolated_running) {
+    if (IsolatedIsNext()) {
+      if (!StartIsolated(now)) {
         return;
       }
       continue;
@@ -186,65 +188,69 @@
     if (!next) {
       return;
     }
-    if (HandOver(now, next->key) && starts_owed > 0) {
-      --starts_owed;
+    if (StartCall(now, next->key) && starts_before_isolated > 0) {
+      --starts_before_isolated;
     }
   }
 }
 
-bool Sidecar::Impl::ApartIsNext() const {
-  return !apart_waiting.empty() && (starts_owed == 0 || queue.size() == 0);
+bool Sidecar::Impl::IsolatedIsNext() const {
+  return !isolated_waiting.empty() &&
+         (starts_before_isolated == 0 || queue.size() == 0);
 }
 
-// A suspect waits for an idle upstream and nothing starts until it has ended.
-// In between, other calls get a slot each, so that a row of suspects does not
-// shut them out. False while it has to wait.
-bool Sidecar::Impl::StartApart(TimeUs now) {
+// Starts a suspect once the upstream is idle; no other call starts until it has
+// ended. Between suspects, other calls fill each slot once, so that a series of
+// suspects does not block them. Returns false while the suspect waits.
+bool Sidecar::Impl::StartIsolated(TimeUs now) {
   if (Occupied() > 0) {
-    apart_hold_until =
-        apart_hold_until == 0 ? now + kApartHold : apart_hold_until;
+    isolation_hold_until = isolation_hold_until == 0
+                               ? now + kIsolationHoldDuration
+                               : isolation_hold_until;
     return false;
   }
-  const StageKey key = apart_waiting.front();
-  apart_waiting.pop_front();
-  apart_hold_until = 0;
-  starts_owed = limit.Current();
-  apart_running = HandOver(now, key);
+  const StageKey key = isolated_waiting.front();
+  isolated_waiting.pop_front();
+  isolation_hold_until = 0;
+  starts_before_isolated = limit.Current();
+  isolated_running = StartCall(now, key);
   return true;
 }
 
-void Sidecar::Impl::EndApartHold(TimeUs now) {
-  if (apart_hold_until == 0 || now < apart_hold_until) {
+void Sidecar::Impl::EndIsolationHold(TimeUs now) {
+  if (isolation_hold_until == 0 || now < isolation_hold_until) {
     return;
   }
-  apart_hold_until = 0;
-  starts_owed = limit.Current();
-  EndWaiting(now, StageKey(apart_waiting.front()), Refusal::kFull);
+  isolation_hold_until = 0;
+  starts_before_isolated = limit.Current();
+  EndWaiting(now, StageKey(isolated_waiting.front()), Refusal::kFull);
 }
 
-// The last point before the upstream. False when the call may not start: it is
-// too late, or news of a crash came while it waited.
-bool Sidecar::Impl::HandOver(TimeUs now, const StageKey& key) {
+// Sends a call to the upstream. Returns false if the call may not start: its
+// deadline is too near, or its request became suspected or convicted while it
+// waited.
+bool Sidecar::Impl::StartCall(TimeUs now, const StageKey& key) {
   Work& item = work[key];
   const Standing standing = quarantine.Of(now, item.call.fingerprint);
   if (standing == Standing::kConvicted) {
     EndWaiting(now, key, Refusal::kQuarantined);
     return false;
   }
-  if (standing == Standing::kSuspect && !item.apart) {
-    item.apart = true;
-    apart_waiting.push_back(key);
+  if (standing == Standing::kSuspect && !item.isolated) {
+    item.isolated = true;
+    isolated_waiting.push_back(key);
     return false;
   }
-  // Half of the expected time is what few calls stay below; one with less time
-  // left would most likely take a slot for nothing.
-  const DurationUs least = Occupied() == 0 ? 0 : times.Expected(item.call) / 2;
-  if (now + least >= item.deadline) {
+  // Few calls take less than half of the expected time; one with less time left
+  // would most likely occupy a slot without use.
+  const DurationUs min_time_left =
+      Occupied() == 0 ? 0 : times.Expected(item.call) / 2;
+  if (now + min_time_left >= item.deadline) {
     EndWaiting(now, key, Refusal::kLate);
     return false;
   }
   item.upstream_call = next_upstream_call++;
-  item.handed_over = now;
+  item.started_at = now;
   running[item.upstream_call] = key;
   running_long += item.is_long ? 1 : 0;
   metrics->Count("acaciachute_sidecar_handed_over_total",
@@ -273,60 +279,63 @@
   output->Send(item.entry, failure);
 }
 
-// Failure: a call is refused here, and a second copy of it, delayed in the
-// network, comes when there is room again. Symptom: it runs although "not run"
-// was told. A refused attempt is remembered like one that ended.
+// Refuses a call and remembers it like one that ended: a second copy, delayed
+// in the network, may arrive when there is capacity again, and would run
+// although "not run" was answered.
 void Sidecar::Impl::Refuse(TimeUs now, const Work& item, Refusal reason) {
   Fail(now, item, Verdict::kNotRun, reason);
-  tombstones.Add(item.call.key, std::max(item.deadline, now) + kTombstoneSlack);
+  tombstones.Add(item.call.key,
+                 std::max(item.deadline, now) + kTombstoneMargin);
 }
 
 void Sidecar::Impl::EndWaiting(TimeUs now,
                                const StageKey& key,
                                Refusal reason) {
   const Work& item = work.at(key);
-  if (!item.apart) {
+  if (!item.isolated) {
     queue.Remove(key);
-  } else if (const auto it =
-                 std::find(apart_waiting.begin(), apart_waiting.end(), key);
-             it != apart_waiting.end()) {
-    apart_hold_until = it == apart_waiting.begin() ? 0 : apart_hold_until;
-    apart_waiting.erase(it);
+  } else if (const auto it = std::find(isolated_waiting.begin(),
+                                       isolated_waiting.end(), key);
+             it != isolated_waiting.end()) {
+    isolation_hold_until =
+        it == isolated_waiting.begin() ? 0 : isolation_hold_until;
+    isolated_waiting.erase(it);
   }
   Fail(now, item, Verdict::kNotRun, reason);
   Forget(now, key);
 }
 
-// Nobody waits for what runs. It is stopped where that does no harm.
+// Ends a running call whose result is no longer needed. It is cancelled at the
+// upstream only if that is safe.
 void Sidecar::Impl::EndRunning(TimeUs now,
                                const StageKey& key,
                                Refusal reason) {
   const Work& item = work.at(key);
   if (item.call.idempotent) {
     output->CancelUpstream(item.upstream_call);
-  } else if (!item.broken) {
+  } else if (!item.connection_lost) {
     overrunning[item.upstream_call] = {
-        now + kOverrun, {item.call.fingerprint, item.call.account}};
+        now + kMaxOverrunDuration, {item.call.fingerprint, item.call.account}};
   }
   Fail(now, item, Verdict::kMayHaveRun, reason);
   Forget(now, key);
 }
 
-// Ends the work under `key`; its tombstone outlives any late copy of the call.
+// Removes the call `key`; its tombstone outlives any late copy of the call.
 void Sidecar::Impl::Forget(TimeUs now, const StageKey& key) {
   const auto it = work.find(key);
   const Work& item = it->second;
   const TimeUs deadline = item.deadline;
   if (!item.waits()) {
-    apart_running = apart_running && !item.apart;
+    isolated_running = isolated_running && !item.isolated;
     running_long -= item.is_long ? 1 : 0;
   }
   deadlines.erase({deadline, key});
   running.erase(item.upstream_call);
-  // The key may live in the work that is erased.
+  // Copied, because `key` may refer into the item that is erased.
   const StageKey kept = key;
   work.erase(it);
-  tombstones.Add(kept, std::max(deadline, now) + kTombstoneSlack);
+  tombstones.Add(kept, std::max(deadline, now) + kTombstoneMargin);
 }
 
 void Sidecar::Impl::OnCancel(TimeUs now,
@@ -337,8 +346,8 @@
   }
   const auto it = work.find(cancel.key);
   if (it == work.end()) {
-    // The call may still be on its way and must not run when it comes.
-    tombstones.Add(cancel.key, now + cancel.time_left + kTombstoneSlack);
+    // The call may still arrive and must not run then.
+    tombstones.Add(cancel.key, now + cancel.time_left + kTombstoneMargin);
     return;
   }
   if (it->second.waits()) {
@@ -349,7 +358,7 @@
   StartWaiting(now);
 }
 
-void Sidecar::Impl::EndLate(TimeUs now) {
+void Sidecar::Impl::EndExpired(TimeUs now) {
   while (!deadlines.empty() && deadlines.begin()->first <= now) {
     const StageKey key = deadlines.begin()->second;
     if (work.at(key).waits()) {
@@ -379,7 +388,7 @@
   }
   Span span;
   span.context = *parent;
-  // Derived, so that a replayed trace gives the same ids.
+  // Derived instead of random, so that a replayed trace yields the same ids.
   span.context.span = parent->span ^ options.incarnation;
   span.parent = parent->span;
   span.name = "sidecar";
@@ -389,7 +398,7 @@
       {"node", options.node},
       {"outcome", std::string(outcome)},
       {"waited_us",
-       std::to_string((item.handed_over == 0 ? now : item.handed_over) -
+       std::to_string((item.started_at == 0 ? now : item.started_at) -
                       item.received)}};
   output->Export(span);
 }
@@ -403,7 +412,7 @@
 void Sidecar::OnMessage(TimeUs now,
                         const NodeId& from,
                         const Message& message) {
-  impl_->BeforeInput(now);
+  impl_->ApplyTimeouts(now);
   if (const auto* call = std::get_if<StageCall>(&message)) {
     impl_->OnCall(now, from, *call);
   } else if (const auto* cancel = std::get_if<StageCancel>(&message)) {
@@ -418,24 +427,24 @@
                           Incarnation incarnation,
                           const Heartbeat& heartbeat) {
   const DurationUs age = impl_->ages.Of(incarnation, heartbeat.sent_at, now);
-  // An entry's word counts from when it was sent.
-  impl_->leaving.OnWord(now - age, LeaveRoute::kEntry,
-                        heartbeat.receiver_leaving);
+  // The age of an entry's report counts from when it was sent.
+  impl_->leaving.OnLeaveReport(now - age, LeaveRoute::kEntry,
+                               heartbeat.receiver_leaving);
   impl_->quarantine.Merge(now, heartbeat.quarantined);
-  impl_->BeforeInput(now);
+  impl_->ApplyTimeouts(now);
 }
 
 void Sidecar::OnHostList(TimeUs now, bool leaving) {
-  impl_->leaving.OnWord(now, LeaveRoute::kHostList, leaving);
-  impl_->BeforeInput(now);
+  impl_->leaving.OnLeaveReport(now, LeaveRoute::kHostList, leaving);
+  impl_->ApplyTimeouts(now);
 }
 
 void Sidecar::OnPeerLost(TimeUs now, const NodeId& entry) {
-  impl_->BeforeInput(now);
+  impl_->ApplyTimeouts(now);
   std::vector<StageKey> keys;
   for (const auto& [key, item] : impl_->work) {
-    // What runs and may not be repeated is finished; its answer has nowhere to
-    // go, but a cut run would be worse for the caller.
+    // A running call that is not idempotent is finished: its answer cannot be
+    // delivered, but an interrupted run would be worse for the caller.
     if (item.entry == entry && (item.waits() || item.call.idempotent)) {
       keys.push_back(key);
     }
@@ -447,16 +456,16 @@
 }
 
 void Sidecar::OnTick(TimeUs now) {
-  impl_->BeforeInput(now);
+  impl_->ApplyTimeouts(now);
   if (impl_->crash_check_at != 0 &&
-      now >= impl_->crash_check_at + kCrashCheckTime) {
+      now >= impl_->crash_check_at + kCrashCheckTimeout) {
     impl_->EndCrashCheck(now, /*crashed=*/true);
   }
   impl_->StartWaiting(now);
 }
 
 TimeUs Sidecar::NextWakeup() const {
-  TimeUs next = std::min(impl_->tombstones.NextEnd(),
+  TimeUs next = std::min(impl_->tombstones.NextExpiry(),
                          impl_->leaving.NextChange(impl_->clock));
   if (!impl_->deadlines.empty()) {
     next = std::min(next, impl_->deadlines.begin()->first);
@@ -464,32 +473,32 @@
   for (const auto& [unused, overrun] : impl_->overrunning) {
     next = std::min(next, overrun.until);
   }
-  if (impl_->apart_hold_until != 0) {
-    next = std::min(next, impl_->apart_hold_until);
+  if (impl_->isolation_hold_until != 0) {
+    next = std::min(next, impl_->isolation_hold_until);
   }
   if (impl_->crash_check_at != 0) {
-    next = std::min(next, impl_->crash_check_at + kCrashCheckTime);
+    next = std::min(next, impl_->crash_check_at + kCrashCheckTimeout);
   }
   return next;
 }
 
 void Sidecar::SetState(NodeState state) {
   impl_->state = state;
-  impl_->BeforeInput(impl_->clock);
+  impl_->ApplyTimeouts(impl_->clock);
 }
 
 void Sidecar::LeaveByOrder(TimeUs now) {
-  impl_->leaving.OnWord(now, LeaveRoute::kOrder, true);
-  impl_->BeforeInput(now);
+  impl_->leaving.OnLeaveReport(now, LeaveRoute::kOrder, true);
+  impl_->ApplyTimeouts(now);
 }
 
 void Sidecar::Leave(TimeUs now) {
-  impl_->leaving.OnWord(now, LeaveRoute::kSignal, true);
-  impl_->BeforeInput(now);
+  impl_->leaving.OnLeaveReport(now, LeaveRoute::kSignal, true);
+  impl_->ApplyTimeouts(now);
 }
 
 NodeState Sidecar::state() const {
-  switch (impl_->Closed(impl_->clock)) {
+  switch (impl_->ClosedReason(impl_->clock)) {
     case Refusal::kNone:
       return NodeState::kReady;
     case Refusal::kLeaving:
@@ -512,7 +521,7 @@
   heartbeat.role = Role::kSidecar;
   heartbeat.state = state();
   heartbeat.load.queued = static_cast<std::uint32_t>(
-      impl_->queue.size() + impl_->apart_waiting.size());
+      impl_->queue.size() + impl_->isolated_waiting.size());
   heartbeat.load.in_progress = impl_->Occupied();
   heartbeat.load.urgent = static_cast<std::uint32_t>(
       std::count_if(impl_->work.begin(), impl_->work.end(), [](const auto& it) {
--- a/src/coordination/sidecar/sidecar.h
+++ b/src/coordination/sidecar/sidecar.h
@@ -1,8 +1,8 @@
-// The sidecar's decisions without I/O: the last guard before an upstream.
+// The sidecar's decision logic without I/O: the last check before an upstream.
 //
-// It queues, limits concurrency, drops duplicates, checks deadlines again at
-// hand-over, refuses new work as soon as its upstream leaves, and says of each
-// attempt whether it may have run.
+// It queues calls, limits concurrency, drops duplicates, checks the deadline
+// again before it sends a call to the upstream, refuses new work as soon as the
+// upstream leaves, and reports for each attempt whether it may have run.
 #ifndef ACACIACHUTE_SRC_COORDINATION_SIDECAR_SIDECAR_H_
 #define ACACIACHUTE_SRC_COORDINATION_SIDECAR_SIDECAR_H_
 
@@ -18,24 +18,26 @@
 
 namespace acaciachute {
 
-// Names a call handed to the upstream; never used again in one process.
+// Identifies a call sent to the upstream; never reused within a process.
 using UpstreamCallId = std::uint64_t;
 
-// How a call to the upstream ended without an answer.
+// Why a call to the upstream ended without an answer.
 enum class UpstreamError {
-  kNotSent,   // The connection was refused; nothing reached the upstream.
-  kRejected,  // The upstream answered that it would not run it.
-  kBroken,    // The connection broke with the call in progress.
-  kMalformed  // The answer was cut, no JSON, or for another request.
+  kNotSent,   // The connection was refused; no data reached the upstream.
+  kRejected,  // The upstream answered that it would not run the call.
+  kBroken,    // The connection was lost while the call was in progress.
+  // The answer was truncated, was not JSON or belonged to another request.
+  kMalformed
 };
 
-// What an upstream says of itself.
+// Status report of an upstream, from a poll of it.
 struct UpstreamReport {
   bool reachable = false;
   bool leaving = false;
   LoadReport load;
-  // Differs between two processes that follow one another; empty when the
-  // upstream does not say, and then only its silence tells of a crash.
+  // Identifies the upstream's process: consecutive processes have different
+  // values. Empty if the upstream does not report it; then only a missing
+  // answer indicates a crash.
   std::string instance;
 };
 
@@ -47,7 +49,7 @@
                             const StageCall& call,
                             DurationUs time_left) = 0;
   virtual void CancelUpstream(UpstreamCallId id) = 0;
-  // Asks for a report at once. One that never comes counts as silence.
+  // Requests a status report at once. A missing report counts as unreachable.
   virtual void CheckUpstream() {}
   // Sends a heartbeat to every entry at once.
   virtual void TellEntries() {}
@@ -57,15 +59,16 @@
 struct SidecarOptions {
   NodeId node;
   Incarnation incarnation = 0;
-  std::uint32_t limit = 4;       // Calls in progress at the upstream.
-  std::size_t max_queued = 256;  // Calls waiting.
+  // Initial limit of calls in progress at the upstream.
+  std::uint32_t limit = 4;
+  std::size_t max_queued = 256;  // Maximum number of waiting calls.
 };
 
 class Sidecar {
  public:
-  // How long the question whether an upstream died may stay without an answer.
-  // Its report is given up after a second.
-  static constexpr DurationUs kCrashCheckTime = 1200 * kMillisecond;
+  // Time after which an upstream that has not answered a crash check is
+  // considered crashed. The request for its report times out after one second.
+  static constexpr DurationUs kCrashCheckTimeout = 1200 * kMillisecond;
 
   Sidecar(SidecarOptions options, SidecarOutput* output, Metrics* metrics);
   ~Sidecar();
@@ -73,17 +76,18 @@
   Sidecar& operator=(const Sidecar&) = delete;
 
   void OnMessage(TimeUs now, const NodeId& from, const Message& message);
-  // An entry's heartbeat; `MakeHeartbeat` answers it.
+  // Handles an entry's heartbeat; the driver replies with `MakeHeartbeat`.
   void OnHeartbeat(TimeUs now,
                    const NodeId& from,
                    Incarnation incarnation,
                    const Heartbeat& heartbeat);
   void OnPeerLost(TimeUs now, const NodeId& entry);
-  // The upstream's answer to a question asked at `asked_at`.
+  // Handles the result of the status request sent at `requested_at`.
   void OnUpstreamReport(TimeUs now,
-                        TimeUs asked_at,
+                        TimeUs requested_at,
                         const UpstreamReport& report);
-  // What the platform's host list says of the upstream's host.
+  // Handles whether the platform's host list marks the upstream's host as
+  // leaving.
   void OnHostList(TimeUs now, bool leaving);
   void OnUpstreamChunk(TimeUs now,
                        UpstreamCallId id,
@@ -93,14 +97,15 @@
   void OnTick(TimeUs now);
   TimeUs NextWakeup() const;
 
-  // Ready or not yet; leaving comes on top of it, from what the inputs say.
+  // Sets whether the sidecar is ready. Leaving is derived from the other inputs
+  // and takes precedence.
   void SetState(NodeState state);
-  // An order of the lease's holder: the upstream is to be given nothing new.
+  // The holder of the control lease ordered that the upstream gets no new work.
   void LeaveByOrder(TimeUs now);
-  // This process was told to end: nothing new from now on.
+  // This process received the signal to stop: no new work is accepted.
   void Leave(TimeUs now);
   NodeState state() const;
-  std::size_t InProgress() const;  // Waiting and running calls.
+  std::size_t InProgress() const;  // Number of waiting and running calls.
   Quarantine& quarantine();
   Heartbeat MakeHeartbeat();
 
--- a/src/coordination/sidecar/sidecar_impl.h
+++ b/src/coordination/sidecar/sidecar_impl.h
@@ -1,5 +1,5 @@
-// Inside of `Sidecar`, shared by its two files: sidecar.cc has what entries
-// send, sidecar_upstream.cc what the upstream says.
+// Implementation of `Sidecar`, shared by its two files: sidecar.cc handles
+// input from entries, sidecar_upstream.cc input from the upstream.
 #ifndef ACACIACHUTE_SRC_COORDINATION_SIDECAR_SIDECAR_IMPL_H_
 #define ACACIACHUTE_SRC_COORDINATION_SIDECAR_SIDECAR_IMPL_H_
 
@@ -23,23 +23,26 @@
 namespace acaciachute {
 namespace detail {
 
-// A call that is waiting or running.
+// A waiting or running call.
 struct Work {
   NodeId entry;
   StageCall call;
   TimeUs received = 0;
   TimeUs deadline = 0;
-  TimeUs handed_over = 0;
-  UpstreamCallId upstream_call = 0;  // Zero while it waits.
+  TimeUs started_at = 0;
+  UpstreamCallId upstream_call = 0;  // Zero while the call waits.
   std::uint32_t next_chunk = 0;
   bool is_long = false;
-  bool apart = false;   // Runs with nothing beside it.
-  bool broken = false;  // Its connection broke; the cause is being looked at.
+  // A suspect of the quarantine: runs with no other call beside it.
+  bool isolated = false;
+  // The connection was lost; the crash check is still in progress.
+  bool connection_lost = false;
 
   bool waits() const { return upstream_call == 0; }
 };
 
-// A call that nobody waits for and that still holds its slot.
+// A call past its deadline or cancelled that still occupies its slot, because
+// it must not be interrupted.
 struct Overrun {
   TimeUs until = 0;
   Quarantine::Suspect suspect;
@@ -52,11 +55,12 @@
 
   Impl(SidecarOptions sidecar_options, SidecarOutput* out, Metrics* counters);
 
-  // What time alone has changed; before each input.
-  void BeforeInput(TimeUs now);
-  Refusal Closed(TimeUs now) const;
-  void EndLate(TimeUs now);
-  void HandBackWaiting(TimeUs now, Refusal reason);
+  // Applies all changes that depend on time alone; called before each input is
+  // handled.
+  void ApplyTimeouts(TimeUs now);
+  Refusal ClosedReason(TimeUs now) const;
+  void EndExpired(TimeUs now);
+  void RefuseWaiting(TimeUs now, Refusal reason);
 
   // Calls and cancels.
   void OnCall(TimeUs now, const NodeId& from, const StageCall& call);
@@ -66,22 +70,23 @@
   DurationUs ExpectedWait(const Work& item) const;
   DurationUs RetryAfter() const;
 
-  // Starting.
+  // Starting of calls.
   std::uint32_t Occupied() const;
   void StartWaiting(TimeUs now);
-  bool StartApart(TimeUs now);
-  bool ApartIsNext() const;
-  void EndApartHold(TimeUs now);
-  bool HandOver(TimeUs now, const StageKey& key);
+  bool StartIsolated(TimeUs now);
+  bool IsolatedIsNext() const;
+  void EndIsolationHold(TimeUs now);
+  bool StartCall(TimeUs now, const StageKey& key);
 
-  // Ending.
+  // Completion of calls.
   void Refuse(TimeUs now, const Work& item, Refusal reason);
   void Fail(TimeUs now,
             const Work& item,
             Verdict verdict,
             Refusal reason,
             bool crashed = false);
-  // `EndWaiting` and `EndRunning` tell the entry and forget the work.
+  // `EndWaiting` and `EndRunning` report the failure to the entry and forget
+  // the call.
   void EndWaiting(TimeUs now, const StageKey& key, Refusal reason);
   void EndRunning(TimeUs now, const StageKey& key, Refusal reason);
   void Forget(TimeUs now, const StageKey& key);
@@ -98,7 +103,7 @@
   SidecarOutput* const output;
   Metrics* const metrics;
   NodeState state = NodeState::kReady;
-  TimeUs clock = 0;  // Of the last input.
+  TimeUs clock = 0;  // Time of the last input.
   UpstreamCallId next_upstream_call = 1;
 
   absl::flat_hash_map<StageKey, Work> work;
@@ -115,13 +120,17 @@
   ConcurrencyLimit limit;
 
   Quarantine quarantine;
-  std::deque<StageKey> apart_waiting;
-  bool apart_running = false;
-  TimeUs apart_hold_until = 0;    // Zero: no slot is kept free for one.
-  std::uint32_t starts_owed = 0;  // To other calls, before the next one apart.
+  std::deque<StageKey> isolated_waiting;
+  bool isolated_running = false;
+  // End of the period in which slots are kept free for an isolated call; zero
+  // if there is none.
+  TimeUs isolation_hold_until = 0;
+  // Number of other calls to start before the next isolated one.
+  std::uint32_t starts_before_isolated = 0;
 
   std::string upstream_instance;
-  TimeUs crash_check_at = 0;  // Zero: none is under way.
+  // Start of the crash check; zero if none is in progress.
+  TimeUs crash_check_at = 0;
   std::vector<Quarantine::Suspect> in_progress_at_crash;
 };
 
--- a/src/coordination/sidecar/sidecar_upstream.cc
+++ b/src/coordination/sidecar/sidecar_upstream.cc
@@ -1,4 +1,4 @@
-// What the upstream says to `Sidecar`: answers, errors, reports, and its death.
+// `Sidecar`: answers, errors, status reports and crashes of the upstream.
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -25,7 +25,7 @@
   const Work& item = work.at(key);
   limit.OnAnswer(now, service, Occupied());
   times.OnAnswer(item.call, service);
-  if (item.apart) {
+  if (item.isolated) {
     quarantine.OnAnsweredAlone(now, item.call.fingerprint);
   }
   ExportSpan(now, item, "answered");
@@ -33,11 +33,12 @@
   StartWaiting(now);
 }
 
-// Failure: the upstream dies with a batch in progress, or it closes a single
-// connection. Symptom: taken for the same, either a request that kills
-// upstreams goes unblamed, or one with a cut answer is blamed for a death that
-// never was. The upstream is asked at once; until it has answered, calls whose
-// connections broke wait for their verdict and nothing is started.
+// Starts a check whether the upstream crashed or only closed a connection. If a
+// crash were taken for a closed connection, a request that crashes upstreams
+// would not be suspected; if a closed connection were taken for a crash, a
+// request with a truncated answer would be suspected wrongly. So the upstream
+// is polled at once; until it has answered, calls whose connections were lost
+// are neither answered nor refused, and no call is started.
 void Sidecar::Impl::StartCrashCheck(TimeUs now) {
   if (crash_check_at != 0) {
     return;
@@ -60,14 +61,14 @@
     metrics->Count("acaciachute_sidecar_upstream_crashes_total");
     quarantine.OnCrash(now, options.node, in_progress_at_crash);
   }
-  std::vector<StageKey> broken;
+  std::vector<StageKey> connection_lost;
   for (const auto& [unused, key] : running) {
-    if (work.at(key).broken) {
-      broken.push_back(key);
+    if (work.at(key).connection_lost) {
+      connection_lost.push_back(key);
     }
   }
-  std::sort(broken.begin(), broken.end());
-  for (const StageKey& key : broken) {
+  std::sort(connection_lost.begin(), connection_lost.end());
+  for (const StageKey& key : connection_lost) {
     Fail(now, work.at(key), Verdict::kMayHaveRun, Refusal::kUpstreamFailed,
          crashed);
     Forget(now, key);
@@ -78,14 +79,14 @@
 }
 
 void Sidecar::OnUpstreamReport(TimeUs now,
-                               TimeUs asked_at,
+                               TimeUs requested_at,
                                const UpstreamReport& report) {
   Impl& impl = *impl_;
-  impl.leaving.OnReport(asked_at, report.reachable);
+  impl.leaving.OnReport(requested_at, report.reachable);
   bool replaced = false;
   if (report.reachable) {
-    impl.leaving.OnWord(now, LeaveRoute::kUpstream, report.leaving);
-    impl.limit.OnReport(now, asked_at, report.load);
+    impl.leaving.OnLeaveReport(now, LeaveRoute::kUpstream, report.leaving);
+    impl.limit.OnReport(now, requested_at, report.load);
     replaced = !impl.upstream_instance.empty() &&
                report.instance != impl.upstream_instance;
     impl.upstream_instance = report.instance;
@@ -94,10 +95,10 @@
     impl.StartCrashCheck(now);
   }
   if (impl.crash_check_at != 0 &&
-      (replaced || asked_at >= impl.crash_check_at)) {
+      (replaced || requested_at >= impl.crash_check_at)) {
     impl.EndCrashCheck(now, replaced || !report.reachable);
   }
-  impl.BeforeInput(now);
+  impl.ApplyTimeouts(now);
   impl.StartWaiting(now);
 }
 
@@ -105,7 +106,7 @@
                               UpstreamCallId id,
                               std::string body,
                               bool last) {
-  impl_->BeforeInput(now);
+  impl_->ApplyTimeouts(now);
   detail::Work* item = impl_->FindRunning(id);
   if (item == nullptr) {
     impl_->metrics->Count("acaciachute_sidecar_stale_answers_total");
@@ -119,7 +120,7 @@
   chunk.sidecar = impl_->options.incarnation;
   chunk.sequence = item->next_chunk++;
   chunk.last = last;
-  chunk.service = now - item->handed_over;
+  chunk.service = now - item->started_at;
   chunk.body = std::move(body);
   impl_->output->Send(item->entry, chunk);
   if (last) {
@@ -130,7 +131,7 @@
 void Sidecar::OnUpstreamError(TimeUs now,
                               UpstreamCallId id,
                               UpstreamError error) {
-  impl_->BeforeInput(now);
+  impl_->ApplyTimeouts(now);
   detail::Work* item = impl_->FindRunning(id);
   if (error == UpstreamError::kBroken &&
       (item != nullptr || impl_->overrunning.contains(id))) {
@@ -142,7 +143,7 @@
     return;
   }
   if (error == UpstreamError::kBroken) {
-    item->broken = true;
+    item->connection_lost = true;
     return;
   }
   const bool not_run =
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -86,7 +86,7 @@
     const std::size_t before = rig.started.size();
     rig.Deliver(rig.Call(n));
     if (rig.started.size() > before) {
-      EXPECT_LT(rig.now - last, Leaving::kReportMaxAge);
+      EXPECT_LT(rig.now - last, Leaving::kMaxReportAge);
       rig.Answer(before);
     }
   }
@@ -106,10 +106,10 @@
 // the word back five times a second; it ages when nobody repeats it.
 TEST(LeavingTest, EntriesDoNotOutvoteOneThatHeard) {
   Leaving leaving;
-  leaving.OnWord(kSecond, LeaveRoute::kEntry, true);
-  leaving.OnWord(2 * kSecond, LeaveRoute::kEntry, false);
+  leaving.OnLeaveReport(kSecond, LeaveRoute::kEntry, true);
+  leaving.OnLeaveReport(2 * kSecond, LeaveRoute::kEntry, false);
   EXPECT_TRUE(leaving.IsLeaving(2 * kSecond));
-  EXPECT_FALSE(leaving.IsLeaving(kSecond + Leaving::kEntryWordAge));
+  EXPECT_FALSE(leaving.IsLeaving(kSecond + Leaving::kMaxEntryReportAge));
 }
 
 // The sidecar wakes from a pause in which the upstream began to leave. A call
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -179,7 +179,7 @@
   rig.Deliver(call);
   rig.core.OnUpstreamError(rig.now, rig.ids[0], UpstreamError::kBroken);
   EXPECT_TRUE(rig.failures.empty());
-  rig.Pass(Sidecar::kCrashCheckTime);
+  rig.Pass(Sidecar::kCrashCheckTimeout);
   ASSERT_EQ(rig.failures.size(), 1);
   EXPECT_TRUE(rig.failures[0].crashed);
   ASSERT_EQ(rig.failures[0].quarantined.size(), 1);
--- a/tests/sidecar_test.cc
+++ b/tests/sidecar_test.cc
@@ -215,12 +215,12 @@
   }
   EXPECT_EQ(tombstones.size(), 100);
   EXPECT_FALSE(tombstones.Contains({{1, 5}, 0, 1}));
-  EXPECT_TRUE(tombstones.MayBeDropped({{1, 5}, 0, 1}));
-  EXPECT_FALSE(tombstones.MayBeDropped({{1, 2000}, 0, 1}));
-  EXPECT_FALSE(tombstones.MayBeDropped({{2, 5}, 0, 1}));
+  EXPECT_TRUE(tombstones.MayBeEvicted({{1, 5}, 0, 1}));
+  EXPECT_FALSE(tombstones.MayBeEvicted({{1, 2000}, 0, 1}));
+  EXPECT_FALSE(tombstones.MayBeEvicted({{2, 5}, 0, 1}));
   tombstones.Expire(2000 * kSecond);
   EXPECT_EQ(tombstones.size(), 0);
-  EXPECT_FALSE(tombstones.MayBeDropped({{1, 5}, 0, 1}));
+  EXPECT_FALSE(tombstones.MayBeEvicted({{1, 5}, 0, 1}));
 }
 
 // Failure: a call's tombstone was dropped for want of room and a copy comes.
@@ -230,7 +230,7 @@
   const StageCall call = rig.Call(1);
   rig.Deliver(call);
   rig.Answer(0);
-  for (std::uint64_t n = 2; n <= Tombstones::kMost + 1; ++n) {
+  for (std::uint64_t n = 2; n <= Tombstones::kMaxTombstones + 1; ++n) {
     rig.Deliver(StageCancel{{{SidecarRig::kEntry, n}, 0, 1},
                             SidecarRig::kIncarnation,
                             kSecond * 9});
