--- a/src/coordination/control/control_duty.cc
+++ b/src/coordination/control/control_duty.cc
@@ -10,8 +10,9 @@
 namespace acaciachute {
 namespace {
 
-// Spreads the pools over the entries, the same way at each of them.
-std::uint64_t PlaceOf(std::string_view pool, std::string_view node) {
+// Hash that ranks an entry for a pool; it spreads the pools over the entries,
+// identically at each entry.
+std::uint64_t PlacementHash(std::string_view pool, std::string_view node) {
   const std::string text = StrCat(pool, "/", node);
   return XXH3_64bits(text.data(), text.size());
 }
@@ -51,9 +52,9 @@
 
 std::size_t ControlDuty::RankOf(const std::string& pool,
                                 const std::vector<NodeId>& peers) const {
-  const std::uint64_t own = PlaceOf(pool, node_);
+  const std::uint64_t own = PlacementHash(pool, node_);
   return std::count_if(peers.begin(), peers.end(), [&](const NodeId& peer) {
-    return PlaceOf(pool, peer) < own;
+    return PlacementHash(pool, peer) < own;
   });
 }
 
@@ -86,9 +87,9 @@
                            const ControlOrderResult& result) {
   for (const auto& [pool, duty] : duties_) {
     if (duty->control.OnResult(now, sidecar, result)) {
-      duty->lease.RaiseNumber();
+      duty->lease.RequestNewNumber();
     }
-    // An order's id begins with its pool.
+    // An order id begins with the name of its pool.
     if (result.reason == Refusal::kFenced &&
         result.order_id.starts_with(StrCat(pool, "/"))) {
       duty->lease.OnFenced(result.fence);
--- a/src/coordination/control/control_duty.h
+++ b/src/coordination/control/control_duty.h
@@ -1,5 +1,5 @@
-// The control duties of one entry: for each pool that names models, a lease
-// that it competes for and, while it holds it, the pool's orders.
+// Control duties of one entry: for each pool that names models, it competes for
+// the pool's lease and, while it holds the lease, sends the pool's orders.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CONTROL_CONTROL_DUTY_H_
 #define ACACIACHUTE_SRC_COORDINATION_CONTROL_CONTROL_DUTY_H_
 
@@ -36,10 +36,10 @@
   void OnResult(TimeUs now,
                 const NodeId& sidecar,
                 const ControlOrderResult& result);
-  // Gives the leases back; this entry leaves.
+  // Releases the leases, because this entry leaves.
   void Leave();
 
-  // Pools whose lease is held, with the number.
+  // Pools whose lease is held, with the fencing numbers.
   std::map<std::string, FenceNumber> Held(TimeUs now) const;
 
  private:
@@ -48,7 +48,7 @@
     PoolControl control;
   };
 
-  // Place of this entry among those that compete for the pool's lease.
+  // Rank of this entry among those that compete for the pool's lease.
   std::size_t RankOf(const std::string& pool,
                      const std::vector<NodeId>& peers) const;
 
--- a/src/coordination/control/fence.cc
+++ b/src/coordination/control/fence.cc
@@ -6,10 +6,10 @@
 namespace acaciachute {
 namespace {
 
-// By `OrderOutcome`.
-constexpr std::array<Refusal, 4> kReasons = {Refusal::kNone, Refusal::kFenced,
-                                             Refusal::kUpstreamFailed,
-                                             Refusal::kUpstreamFailed};
+// Result of an order, indexed by `OrderOutcome`.
+constexpr std::array<Refusal, 4> kReasonByOutcome = {
+    Refusal::kNone, Refusal::kFenced, Refusal::kUpstreamFailed,
+    Refusal::kUpstreamFailed};
 
 }  // namespace
 
@@ -29,9 +29,9 @@
   output_->ReadLease(++ticket_);
 }
 
-void FenceGuard::Raise(FenceNumber number) {
-  if (number > in_force_) {
-    in_force_ = number;
+void FenceGuard::RaiseFence(FenceNumber number) {
+  if (number > fence_in_force_) {
+    fence_in_force_ = number;
     outcomes_.clear();
   }
 }
@@ -40,26 +40,26 @@
                         const std::string& order_id,
                         Refusal reason) {
   metrics_->Count("acaciachute_orders_total", Name(reason));
-  output_->AnswerOrder(holder, {order_id, reason, in_force_});
+  output_->AnswerOrder(holder, {order_id, reason, fence_in_force_});
 }
 
 void FenceGuard::OnOrder(TimeUs now,
                          const NodeId& from,
                          const ControlOrder& order) {
-  const auto same_id = [&](const Waiting& it) {
+  const auto same_id = [&](const WaitingOrder& it) {
     return it.order.order_id == order.order_id;
   };
   if (order.sidecar != incarnation_) {
     Answer(from, order.order_id, Refusal::kNotCurrent);
-  } else if (order.fence < in_force_) {
+  } else if (order.fence < fence_in_force_) {
     Answer(from, order.order_id, Refusal::kFenced);
   } else if (const auto it = outcomes_.find(order.order_id);
              it != outcomes_.end()) {
     Answer(from, order.order_id, it->second);
   } else if (std::any_of(waiting_.begin(), waiting_.end(), same_id)) {
-    // Its outcome is on the way to whoever sent the first copy.
+    // The sender of the first copy receives the outcome.
     metrics_->Count("acaciachute_orders_repeated_total");
-  } else if (waiting_.size() >= kMostWaiting) {
+  } else if (waiting_.size() >= kMaxWaitingOrders) {
     Answer(from, order.order_id, Refusal::kFull);
   } else {
     waiting_.push_back({from, order});
@@ -69,17 +69,19 @@
   }
 }
 
-// Whether the first order may be passed, the lease's row having been read.
+// Decides whether the first order may be forwarded to the upstream, after the
+// lease's row was read.
 Refusal FenceGuard::Check(const ControlOrder& order) const {
-  if (order.fence < in_force_) {
+  if (order.fence < fence_in_force_) {
     return Refusal::kFenced;
   }
-  const bool known_since_start =
-      upstream_keeps_numbers_ || order.fence > at_start_.value_or(order.fence);
-  if (!upstream_known_ || !known_since_start || order.fence > in_force_) {
+  const bool newer_than_start =
+      upstream_keeps_numbers_ ||
+      order.fence > fence_at_start_.value_or(order.fence);
+  if (!upstream_known_ || !newer_than_start || order.fence > fence_in_force_) {
     return Refusal::kNotCurrent;
   }
-  return outcomes_.size() >= kMostOutcomes ? Refusal::kFull : Refusal::kNone;
+  return outcomes_.size() >= kMaxOutcomes ? Refusal::kFull : Refusal::kNone;
 }
 
 void FenceGuard::OnLease(TimeUs now,
@@ -90,55 +92,55 @@
   }
   reading_ = false;
   if (number) {
-    Raise(*number);
-    at_start_ = at_start_.value_or(*number);
+    RaiseFence(*number);
+    fence_at_start_ = fence_at_start_.value_or(*number);
   }
-  if (waiting_.empty() || passing_) {
+  if (waiting_.empty() || order_in_progress_) {
     return;
   }
   if (!number) {
-    EndFirst(now, Refusal::kStoreDown);
+    AnswerFirst(now, Refusal::kStoreDown);
     return;
   }
-  if (now - read_at_ > kReadMaxAge) {
+  if (now - read_at_ > kMaxLeaseReadAge) {
     ReadLease(now);
     return;
   }
   const ControlOrder& order = waiting_.front().order;
   const Refusal reason = Check(order);
   if (reason != Refusal::kNone) {
-    EndFirst(now, reason);
+    AnswerFirst(now, reason);
     return;
   }
-  passing_ = true;
+  order_in_progress_ = true;
   output_->PassOrder(order);
 }
 
 void FenceGuard::OnUpstreamFence(bool keeps_numbers, FenceNumber number) {
   upstream_known_ = true;
   upstream_keeps_numbers_ = keeps_numbers;
-  Raise(number);
+  RaiseFence(number);
 }
 
 void FenceGuard::OnOutcome(TimeUs now,
                            const std::string& order_id,
                            OrderOutcome outcome,
                            FenceNumber number) {
-  if (!passing_ || waiting_.front().order.order_id != order_id) {
+  if (!order_in_progress_ || waiting_.front().order.order_id != order_id) {
     return;
   }
-  passing_ = false;
-  const Refusal reason = kReasons[static_cast<std::size_t>(outcome)];
+  order_in_progress_ = false;
+  const Refusal reason = kReasonByOutcome[static_cast<std::size_t>(outcome)];
   if (outcome == OrderOutcome::kRefused) {
-    Raise(number);
+    RaiseFence(number);
   } else if (outcome != OrderOutcome::kNotSent) {
     outcomes_[order_id] = reason;
   }
-  EndFirst(now, reason);
+  AnswerFirst(now, reason);
 }
 
-void FenceGuard::EndFirst(TimeUs now, Refusal reason) {
-  const Waiting first = std::move(waiting_.front());
+void FenceGuard::AnswerFirst(TimeUs now, Refusal reason) {
+  const WaitingOrder first = std::move(waiting_.front());
   waiting_.pop_front();
   Answer(first.holder, first.order.order_id, reason);
   if (!waiting_.empty()) {
--- a/src/coordination/control/fence.h
+++ b/src/coordination/control/fence.h
@@ -1,21 +1,23 @@
-// Control orders to an upstream: only the lease's present holder is obeyed.
+// Checks control orders to an upstream: only orders of the current lease holder
+// are forwarded.
 //
-// Failure: a holder is paused past its lease, another takes over, and the first
-// wakes in the middle of an order, believing that it still holds the lease.
-// Symptom: the upstream is moved back to an old model. Each order carries its
-// holder's fencing number. Some upstreams ignore it, and this process may have
-// been replaced since it last heard a number, so neither is relied on: before
-// an order is passed, the number in force is read from the lease's row. Whoever
-// superseded the sender had to write that row first, so the read tells. Orders
-// are rare (a thousand changes a day in the whole system), so a read for each
-// costs nothing; while the table is down no lease can be held either, and no
-// order is passed.
+// If a holder is suspended beyond its lease and another entry takes over, the
+// first resumes in the middle of an order with an outdated view that it still
+// holds the lease, and would move the upstream back to an old model. So each
+// order carries its holder's fencing number. Some upstreams ignore the number,
+// and this process may have been replaced since the last number was received;
+// so before an order is forwarded, the number in force is read from the lease's
+// row. The entry that superseded the sender had to write that row first, so the
+// read shows it. Orders are rare (a thousand changes a day in the whole
+// system), so one read per order is cheap. While the table is down no lease can
+// be held either, and no order is forwarded.
 //
-// An order id is carried out once and its outcome given again. An order names
-// the sidecar's incarnation, so that a late copy for a predecessor is refused.
-// A process that has just started cannot know which ids its predecessor passed
-// under the number in force; unless the upstream itself remembers ids, it wants
-// a newer number, which costs the holder one write.
+// An order id is executed once, and its outcome is returned for each
+// repetition. An order names the sidecar's incarnation, so that a late copy for
+// a previous incarnation is refused. A process that has just started does not
+// know which ids its predecessor forwarded under the number in force; unless
+// the upstream itself remembers ids, it requires a newer number, which costs
+// the holder one write.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CONTROL_FENCE_H_
 #define ACACIACHUTE_SRC_COORDINATION_CONTROL_FENCE_H_
 
@@ -34,53 +36,57 @@
 class FenceOutput {
  public:
   virtual ~FenceOutput() = default;
-  // Reads the lease's row; `OnLease` brings the answer under `ticket`.
+  // Reads the lease's row; `OnLease` receives the answer with `ticket`.
   virtual void ReadLease(std::uint64_t ticket) = 0;
-  // Reads the upstream's own number; `OnUpstreamFence` brings the answer.
+  // Reads the number stored by the upstream; `OnUpstreamFence` receives it.
   virtual void ReadUpstreamFence() = 0;
   virtual void PassOrder(const ControlOrder& order) = 0;
   virtual void AnswerOrder(const NodeId& holder,
                            const ControlOrderResult& result) = 0;
 };
 
-// What became of an order at the upstream.
+// Result of an order at the upstream.
 enum class OrderOutcome {
   kDone,
-  kRefused,  // It knows a larger number.
-  kNotSent,  // Nothing reached it; the order may be sent again.
-  kUnknown   // It may have been carried out.
+  kRefused,  // The upstream has stored a larger number.
+  kNotSent,  // The order did not reach the upstream and may be sent again.
+  kUnknown   // The order may have been executed.
 };
 
 class FenceGuard {
  public:
-  // A row read longer ago may have been superseded while this process was
-  // paused; it is read again. A read takes some milliseconds.
-  static constexpr DurationUs kReadMaxAge = 500 * kMillisecond;
-  static constexpr std::size_t kMostWaiting = 16;
-  // Outcomes kept under one number. With a larger number they go, as orders
-  // under an older one are refused; beyond it orders wait for a new number.
-  static constexpr std::size_t kMostOutcomes = 1024;
+  // Maximum age of a read of the row; an older one may have been superseded
+  // while this process was suspended, and is repeated. A read takes some
+  // milliseconds.
+  static constexpr DurationUs kMaxLeaseReadAge = 500 * kMillisecond;
+  static constexpr std::size_t kMaxWaitingOrders = 16;
+  // Maximum number of outcomes kept under one number. A larger number clears
+  // them, because orders under an older one are refused; at the limit, orders
+  // are refused until there is a new number.
+  static constexpr std::size_t kMaxOutcomes = 1024;
 
   FenceGuard(Incarnation incarnation, FenceOutput* output, Metrics* metrics);
 
-  // Reads the numbers in force; orders wait for them.
+  // Reads the numbers in force; orders wait until they are known.
   void Start(TimeUs now);
   void OnOrder(TimeUs now, const NodeId& from, const ControlOrder& order);
-  // `number` is none when the row could not be read; zero: nobody holds it yet.
+  // `number` is empty if the row could not be read, and zero if the lease was
+  // never held.
   void OnLease(TimeUs now,
                std::uint64_t ticket,
                std::optional<FenceNumber> number);
-  // `keeps_numbers`: the upstream checks numbers and remembers order ids.
+  // `keeps_numbers`: the upstream checks fencing numbers and remembers order
+  // ids.
   void OnUpstreamFence(bool keeps_numbers, FenceNumber number);
   void OnOutcome(TimeUs now,
                  const std::string& order_id,
                  OrderOutcome outcome,
                  FenceNumber number);
 
-  FenceNumber in_force() const { return in_force_; }
+  FenceNumber in_force() const { return fence_in_force_; }
 
  private:
-  struct Waiting {
+  struct WaitingOrder {
     NodeId holder;
     ControlOrder order;
   };
@@ -89,22 +95,25 @@
   void Answer(const NodeId& holder,
               const std::string& order_id,
               Refusal reason);
-  void EndFirst(TimeUs now, Refusal reason);
-  void Raise(FenceNumber number);
+  void AnswerFirst(TimeUs now, Refusal reason);
+  void RaiseFence(FenceNumber number);
 
   const Incarnation incarnation_;
   FenceOutput* const output_;
   Metrics* const metrics_;
-  FenceNumber in_force_ = 0;
-  std::optional<FenceNumber> at_start_;  // In force when this process began.
+  FenceNumber fence_in_force_ = 0;
+  // Number in force when this process started.
+  std::optional<FenceNumber> fence_at_start_;
   bool upstream_known_ = false;
   bool upstream_keeps_numbers_ = false;
-  std::deque<Waiting> waiting_;  // The first is being looked at or passed.
-  bool passing_ = false;
+  // The first order is being checked or is in progress at the upstream.
+  std::deque<WaitingOrder> waiting_;
+  bool order_in_progress_ = false;
   std::uint64_t ticket_ = 0;
   bool reading_ = false;
   TimeUs read_at_ = 0;
-  std::map<std::string, Refusal> outcomes_;  // Under the number in force.
+  // Outcomes under the number in force, by order id.
+  std::map<std::string, Refusal> outcomes_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/control/lease.cc
+++ b/src/coordination/control/lease.cc
@@ -43,33 +43,33 @@
 
 DurationUs Lease::WatchPeriod() const {
   const DurationUs period =
-      rank_ < kCandidates ? kWatchPeriod : kFarWatchPeriod;
+      rank_ < kCandidates ? kWatchPeriod : kStandbyWatchPeriod;
   return period * 3 / 4 + static_cast<DurationUs>(random_->Below(period / 2));
 }
 
 void Lease::Call(std::vector<StoreOp> ops) {
-  waiting_for_ = next_ticket_++;
-  output_->CallTable(pool_, waiting_for_, std::move(ops));
+  pending_ticket_ = next_ticket_++;
+  output_->CallTable(pool_, pending_ticket_, std::move(ops));
 }
 
 void Lease::OnTick(TimeUs now) {
-  if (waiting_for_ != 0 || now < due_) {
+  if (pending_ticket_ != 0 || now < due_) {
     return;
   }
   if (write_ != Write::kNone) {
     SendWrite();
     return;
   }
-  if (ours_) {
+  if (row_is_own_) {
     StartWrite(now, leaving_ ? Write::kRelease : Write::kRenew,
-               std::exchange(raise_, false) ? fence_ + 1 : fence_);
+               std::exchange(raise_number_, false) ? fence_ + 1 : fence_);
     return;
   }
   if (leaving_) {
     return;
   }
-  if (seen_since_ && now >= TakeOverAt()) {
-    StartWrite(now, Write::kAcquire, seen_.fence + 1);
+  if (observed_since_ && now >= TakeOverTime()) {
+    StartWrite(now, Write::kAcquire, observed_.fence + 1);
     return;
   }
   Call({{StoreOpKind::kRead, LeaseRowKey(pool_), "", 0}});
@@ -77,26 +77,26 @@
 
 void Lease::StartWrite(TimeUs now, Write kind, FenceNumber fence) {
   write_ = kind;
-  written_ = {kind == Write::kRelease ? NodeId() : node_, fence,
-              random_->Next()};
-  base_ = seen_version_;
+  pending_row_ = {kind == Write::kRelease ? NodeId() : node_, fence,
+                  random_->Next()};
+  base_version_ = observed_version_;
   first_sent_at_ = now;
-  may_have_landed_ = false;
+  may_be_applied_ = false;
   SendWrite();
 }
 
 void Lease::SendWrite() {
-  Call({{base_ == 0 ? StoreOpKind::kInsert : StoreOpKind::kUpdate,
-         LeaseRowKey(pool_), EncodeLease(written_), base_}});
+  Call({{base_version_ == 0 ? StoreOpKind::kInsert : StoreOpKind::kUpdate,
+         LeaseRowKey(pool_), EncodeLease(pending_row_), base_version_}});
 }
 
 void Lease::OnTableAnswer(TimeUs now,
                           StoreTicket ticket,
                           const StoreAnswer& answer) {
-  if (ticket != waiting_for_) {
+  if (ticket != pending_ticket_) {
     return;
   }
-  waiting_for_ = 0;
+  pending_ticket_ = 0;
   if (write_ == Write::kNone) {
     OnRead(now, answer);
   } else {
@@ -108,50 +108,52 @@
   due_ = now + WatchPeriod();
   if (answer.status == StoreStatus::kOk && !answer.rows.empty()) {
     Observe(now, answer.rows[0]);
-    due_ = std::min(due_, std::max(now + kRetryPause, TakeOverAt()));
+    due_ = std::min(due_, std::max(now + kRetryDelay, TakeOverTime()));
   }
 }
 
-// When the row will have stood unchanged for long enough.
-TimeUs Lease::TakeOverAt() const {
-  const auto place = static_cast<DurationUs>(std::min(rank_, kCandidates));
-  return *seen_since_ + (seen_.holder.empty() ? 0 : kTerm) +
-         place * kRankPause + kMillisecond;
+// Time at which the row will have been unchanged for long enough to take over.
+TimeUs Lease::TakeOverTime() const {
+  const auto rank = static_cast<DurationUs>(std::min(rank_, kCandidates));
+  return *observed_since_ + (observed_.holder.empty() ? 0 : kLeaseDuration) +
+         rank * kRankDelay + kMillisecond;
 }
 
 void Lease::Observe(TimeUs now, const StoreRow& row) {
-  if (seen_since_ && row.version == seen_version_) {
+  if (observed_since_ && row.version == observed_version_) {
     return;
   }
-  seen_version_ = row.version;
-  // When it was seen, which is never before it was written.
-  seen_since_ = now;
-  seen_ = {};
+  observed_version_ = row.version;
+  // Time of the observation, which is never before that of the write.
+  observed_since_ = now;
+  observed_ = {};
   if (row.version != 0) {
     if (const auto lease = DecodeLease(row.value); lease.ok()) {
-      seen_ = *lease;
+      observed_ = *lease;
     }
   }
 }
 
-// Failure: the answer to a write is lost after its effect. Symptom: the holder
-// believes that it lost the lease, or a candidate that it holds none. The same
-// write is sent again under its nonce until the table says which: it holds now,
-// or the row that stands carries the nonce, or another's.
+// Handles the answer to a write. If an answer is lost after the write took
+// effect, a holder would assume that it lost the lease, or a candidate that it
+// does not hold one. So the same write is sent again under its nonce until the
+// table gives a result: the write succeeds, or the row in the table carries
+// this nonce or another one.
 void Lease::OnWritten(TimeUs now, const StoreAnswer& answer) {
-  due_ = now + kRetryPause;
+  due_ = now + kRetryDelay;
   switch (answer.status) {
     case StoreStatus::kOk:
-      Took(now, answer.rows.empty() ? base_ + 1 : answer.rows[0].version);
+      OnWriteConfirmed(now, answer.rows.empty() ? base_version_ + 1
+                                                : answer.rows[0].version);
       return;
     case StoreStatus::kUnknown:
-      may_have_landed_ = true;
+      may_be_applied_ = true;
       return;
     case StoreStatus::kUnavailable:
-      // Never sent: an acquisition is thought over again, with a new read.
-      if (!may_have_landed_ && write_ == Write::kAcquire) {
+      // The write was not sent: an acquisition starts again with a new read.
+      if (!may_be_applied_ && write_ == Write::kAcquire) {
         write_ = Write::kNone;
-        seen_since_.reset();
+        observed_since_.reset();
       }
       return;
     case StoreStatus::kConflict:
@@ -159,14 +161,14 @@
   }
   const auto lease = answer.rows.empty() ? absl::NotFoundError("no row")
                                          : DecodeLease(answer.rows[0].value);
-  if (lease.ok() && lease->nonce == written_.nonce) {
-    Took(now, answer.rows[0].version);
+  if (lease.ok() && lease->nonce == pending_row_.nonce) {
+    OnWriteConfirmed(now, answer.rows[0].version);
     return;
   }
-  if (ours_) {
+  if (row_is_own_) {
     metrics_->Count("acaciachute_leases_total", "lost");
   }
-  ours_ = false;
+  row_is_own_ = false;
   held_until_ = 0;
   write_ = Write::kNone;
   if (!answer.rows.empty()) {
@@ -174,22 +176,23 @@
   }
 }
 
-void Lease::Took(TimeUs now, std::uint64_t version) {
-  seen_version_ = version;
-  seen_ = written_;
-  seen_since_ = now;
+void Lease::OnWriteConfirmed(TimeUs now, std::uint64_t version) {
+  observed_version_ = version;
+  observed_ = pending_row_;
+  observed_since_ = now;
   const Write kind = std::exchange(write_, Write::kNone);
   if (kind == Write::kRelease) {
-    ours_ = false;
+    row_is_own_ = false;
     held_until_ = 0;
     return;
   }
   if (kind == Write::kAcquire) {
     metrics_->Count("acaciachute_leases_total", "acquired");
   }
-  ours_ = true;
-  fence_ = written_.fence;
-  held_until_ = leaving_ ? 0 : first_sent_at_ + kTerm - kMargin;
+  row_is_own_ = true;
+  fence_ = pending_row_.fence;
+  held_until_ =
+      leaving_ ? 0 : first_sent_at_ + kLeaseDuration - kClockDriftMargin;
   due_ = leaving_ ? now : first_sent_at_ + kRenewPeriod;
 }
 
--- a/src/coordination/control/lease.h
+++ b/src/coordination/control/lease.h
@@ -1,16 +1,18 @@
-// The lease on one pool's control duty: at most one entry acts for the pool.
+// Lease on the control duty of one pool: at most one entry sends orders for the
+// pool.
 //
-// Load pattern: the holder dies, is paused past its lease and wakes in the
-// middle of an order, or loses the answer to its renewal. Without the lease two
-// entries order loads and unloads against one another; without the fencing
-// number the one that wakes finishes its old order after its successor's.
+// A holder can stop, be suspended beyond its lease and resume in the middle of
+// an order, or lose the answer to its renewal. Without the lease two entries
+// would send conflicting orders to load and unload models; without the fencing
+// number a suspended holder would finish an old order after its successor's.
 //
-// No two clocks are compared. The holder counts its time from before it sent
-// the write that last held, and stops `kMargin` early. Another entry takes over
-// only after it saw the row at one version for a whole `kTerm` by its own
-// clock, which began no earlier than that write. The number grows with each
-// acquisition; sidecars refuse orders below the largest that they saw, and that
-// covers a holder that is paused between its check and its order.
+// No two clocks are compared. The holder counts its lease from before it sent
+// the last write that succeeded, and stops `kClockDriftMargin` early. Another
+// entry takes over only after it observed the row at one version for a full
+// `kLeaseDuration` by its own clock, which began no earlier than that write.
+// The fencing number grows with each acquisition; sidecars refuse orders below
+// the largest number they have seen, which covers a holder that is suspended
+// between its check and its order.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CONTROL_LEASE_H_
 #define ACACIACHUTE_SRC_COORDINATION_CONTROL_LEASE_H_
 
@@ -30,9 +32,9 @@
 std::string LeaseRowKey(std::string_view pool);
 
 struct LeaseRow {
-  NodeId holder;  // Empty once it was given back.
+  NodeId holder;  // Empty after the lease was released.
   FenceNumber fence = 0;
-  std::uint64_t nonce = 0;  // Of the write.
+  std::uint64_t nonce = 0;  // Identifies the write of this row.
 };
 
 std::string EncodeLease(const LeaseRow& row);
@@ -48,21 +50,23 @@
 
 class Lease {
  public:
-  // A pool without control for so long goes on serving as it is; loads wait.
-  static constexpr DurationUs kTerm = 10 * kSecond;
-  // Clocks of two hosts drift apart by far less than a tenth.
-  static constexpr DurationUs kMargin = kSecond;
-  // Two renewals may fail before the third comes too late. At 21 pools these
-  // are 7 writes a second of several hundred.
+  // Duration of a lease without renewal. A pool that is without control for
+  // this long continues to serve; only loads of models are delayed.
+  static constexpr DurationUs kLeaseDuration = 10 * kSecond;
+  // The clocks of two hosts differ in rate by far less than a tenth.
+  static constexpr DurationUs kClockDriftMargin = kSecond;
+  // Two renewals may fail before a third would be too late. For 21 pools this
+  // makes 7 writes/s, of the several hundred that the table takes.
   static constexpr DurationUs kRenewPeriod = 3 * kSecond;
-  // The three entries that come first for a pool watch its row closely; the
-  // others only make sure that those are not all gone.
+  // Number of entries, by rank for a pool, that read its row every
+  // `kWatchPeriod`. The others read it every `kStandbyWatchPeriod`, in case all
+  // of those have stopped.
   static constexpr std::size_t kCandidates = 3;
   static constexpr DurationUs kWatchPeriod = 2 * kSecond;
-  static constexpr DurationUs kFarWatchPeriod = 30 * kSecond;
-  static constexpr DurationUs kRetryPause = 300 * kMillisecond;
-  // Each place waits so much longer than the one before it to take over.
-  static constexpr DurationUs kRankPause = 500 * kMillisecond;
+  static constexpr DurationUs kStandbyWatchPeriod = 30 * kSecond;
+  static constexpr DurationUs kRetryDelay = 300 * kMillisecond;
+  // Additional delay before a takeover, per rank.
+  static constexpr DurationUs kRankDelay = 500 * kMillisecond;
 
   Lease(std::string pool,
         NodeId node,
@@ -70,22 +74,24 @@
         Random* random,
         Metrics* metrics);
 
-  // Place of this entry among those that compete for the pool.
+  // Sets the rank of this entry among those that compete for the lease.
   void SetRank(std::size_t rank) { rank_ = rank; }
   void OnTick(TimeUs now);
   void OnTableAnswer(TimeUs now, StoreTicket ticket, const StoreAnswer& answer);
-  // This entry leaves: it holds nothing from now on, and the next ticks give
-  // the row back, so that a successor need not wait.
+  // Releases the lease, because this entry leaves. It counts as not held from
+  // now on, and the following ticks write the release to the row, so that a
+  // successor need not wait.
   void Release();
 
-  // Whether orders may be given now. Asked right before each.
+  // Whether orders may be sent now; checked right before each order.
   bool Holds(TimeUs now) const { return now < held_until_; }
-  // Another entry holds a larger number: this one's time is over.
+  // A sidecar saw a larger number of another entry: the lease is no longer
+  // held.
   void OnFenced(FenceNumber seen);
   const std::string& pool() const { return pool_; }
   FenceNumber fence() const { return fence_; }
-  // The next renewal takes a larger number, as an acquisition does.
-  void RaiseNumber() { raise_ = true; }
+  // Makes the next renewal use a larger number, as an acquisition does.
+  void RequestNewNumber() { raise_number_ = true; }
 
  private:
   enum class Write { kNone, kAcquire, kRenew, kRelease };
@@ -95,10 +101,10 @@
   void StartWrite(TimeUs now, Write kind, FenceNumber fence);
   void OnRead(TimeUs now, const StoreAnswer& answer);
   void OnWritten(TimeUs now, const StoreAnswer& answer);
-  void Took(TimeUs now, std::uint64_t version);
+  void OnWriteConfirmed(TimeUs now, std::uint64_t version);
   void Observe(TimeUs now, const StoreRow& row);
   DurationUs WatchPeriod() const;
-  TimeUs TakeOverAt() const;
+  TimeUs TakeOverTime() const;
 
   const std::string pool_;
   const NodeId node_;
@@ -108,23 +114,25 @@
 
   std::size_t rank_ = 0;
   StoreTicket next_ticket_ = 1;
-  StoreTicket waiting_for_ = 0;  // Zero: no call in progress.
+  // Ticket of the call in progress; zero if there is none.
+  StoreTicket pending_ticket_ = 0;
   TimeUs due_ = 0;
-  // What was last seen of the row, and since when it has stood so.
-  std::uint64_t seen_version_ = 0;
-  LeaseRow seen_;
-  std::optional<TimeUs> seen_since_;
-  // The write in progress; repeated under its nonce until it is settled.
+  // The row as last observed, and the time since which it is unchanged.
+  std::uint64_t observed_version_ = 0;
+  LeaseRow observed_;
+  std::optional<TimeUs> observed_since_;
+  // The write in progress; repeated under its nonce until its result is known.
   Write write_ = Write::kNone;
-  LeaseRow written_;
-  std::uint64_t base_ = 0;
+  LeaseRow pending_row_;
+  std::uint64_t base_version_ = 0;
   TimeUs first_sent_at_ = 0;
-  bool may_have_landed_ = false;
+  bool may_be_applied_ = false;
   bool leaving_ = false;
-  bool raise_ = false;
-  // Held.
+  bool raise_number_ = false;
+  // State as holder.
   TimeUs held_until_ = 0;
-  bool ours_ = false;  // The row is this process's own, held or run out.
+  // The row was last written by this process, even if the lease has expired.
+  bool row_is_own_ = false;
   FenceNumber fence_ = 0;
 };
 
--- a/src/coordination/control/pool_control.cc
+++ b/src/coordination/control/pool_control.cc
@@ -20,7 +20,8 @@
                          FenceNumber fence,
                          const std::vector<ControlTarget>& targets) {
   if (fence != fence_) {
-    // Under a new number an order is a new one; without a number there is none.
+    // A new number invalidates the order in progress; without a number no order
+    // may be sent.
     fence_ = fence;
     order_.reset();
   }
@@ -28,34 +29,37 @@
     return;
   }
   if (order_) {
-    const bool there = std::any_of(
+    const bool target_present = std::any_of(
         targets.begin(), targets.end(), [&](const ControlTarget& it) {
           return it.sidecar == order_->sidecar &&
                  it.incarnation == order_->message.sidecar;
         });
-    if (!there) {
-      order_.reset();  // Its process is gone; another copy would be refused.
-    } else if (now - order_->sent_at >= kRepeat) {
+    if (!target_present) {
+      // The target's process has stopped or was replaced; its successor would
+      // refuse a copy.
+      order_.reset();
+    } else if (now - order_->sent_at >= kResendPeriod) {
       order_->sent_at = now;
       output_->SendOrder(order_->sidecar, order_->message);
     }
     return;
   }
-  while (!begun_.empty() && begun_.front() + 60 * kSecond <= now) {
-    begun_.pop_front();
+  while (!recent_starts_.empty() &&
+         recent_starts_.front() + 60 * kSecond <= now) {
+    recent_starts_.pop_front();
   }
-  if (now >= not_before_ && begun_.size() < kPerMinute) {
-    Begin(now, fence, targets);
+  if (now >= earliest_start_ && recent_starts_.size() < kMaxOrdersPerMinute) {
+    StartOrder(now, fence, targets);
   }
 }
 
-void PoolControl::Begin(TimeUs now,
-                        FenceNumber fence,
-                        const std::vector<ControlTarget>& targets) {
+void PoolControl::StartOrder(TimeUs now,
+                             FenceNumber fence,
+                             const std::vector<ControlTarget>& targets) {
   for (const auto& target : targets) {
     for (const auto& model : models_) {
-      if (done_.contains({target.sidecar, target.incarnation, model.name,
-                          model.version})) {
+      if (loaded_.contains({target.sidecar, target.incarnation, model.name,
+                            model.version})) {
         continue;
       }
       Order order;
@@ -67,7 +71,7 @@
       order.message.model = model.name;
       order.message.model_version = model.version;
       order.sent_at = now;
-      begun_.push_back(now);
+      recent_starts_.push_back(now);
       metrics_->Count("acaciachute_orders_begun_total");
       order_ = std::move(order);
       output_->SendOrder(order_->sidecar, order_->message);
@@ -85,15 +89,15 @@
   }
   metrics_->Count("acaciachute_orders_ended_total", Name(result.reason));
   if (result.reason == Refusal::kNone) {
-    done_.insert({sidecar, order_->message.sidecar, order_->message.model,
-                  order_->message.model_version});
+    loaded_.insert({sidecar, order_->message.sidecar, order_->message.model,
+                    order_->message.model_version});
     order_.reset();
     return false;
   }
   order_.reset();
-  not_before_ = now + kAfterFailure;
-  // A sidecar that started under this number cannot know what its predecessor
-  // passed under it.
+  earliest_start_ = now + kFailureRetryDelay;
+  // A sidecar that started under this number does not know which orders its
+  // predecessor forwarded under it.
   return result.reason == Refusal::kNotCurrent && result.fence == fence_;
 }
 
--- a/src/coordination/control/pool_control.h
+++ b/src/coordination/control/pool_control.h
@@ -1,14 +1,14 @@
-// The orders that a lease's holder gives to the upstreams of one pool: each
-// replica is to have each of the pool's models loaded.
+// Orders that a lease holder sends to the upstreams of one pool, so that each
+// replica loads each of the pool's models.
 //
-// Load pattern: an operator names a new model for a pool of 18 replicas. All at
-// once they would reload together: the pool is gone for minutes and the weight
-// store's rate with it. So one order of a pool is in progress at a time, and at
-// most `kPerMinute` are begun.
+// When an operator names a new model for a pool of 18 replicas and all reload
+// at once, the pool is out of service for minutes and the rate of the weight
+// store is exhausted. So one order of a pool is in progress at a time, and at
+// most `kMaxOrdersPerMinute` are started.
 //
-// An order keeps its id until its outcome is known, so a lost answer repeats it
-// without a second load. Without the lease nothing is sent, and what was in
-// progress is forgotten: the next holder asks again.
+// An order keeps its id until its outcome is known, so after a lost answer it
+// is repeated without a second load. Without the lease no order is sent, and
+// the order in progress is dropped: the next holder sends it again.
 #ifndef ACACIACHUTE_SRC_COORDINATION_CONTROL_POOL_CONTROL_H_
 #define ACACIACHUTE_SRC_COORDINATION_CONTROL_POOL_CONTROL_H_
 
@@ -33,7 +33,7 @@
   virtual void SendOrder(const NodeId& sidecar, const ControlOrder& order) = 0;
 };
 
-// A replica that takes orders now.
+// A replica that is ready and accepts orders.
 struct ControlTarget {
   NodeId sidecar;
   Incarnation incarnation = 0;
@@ -41,22 +41,24 @@
 
 class PoolControl {
  public:
-  // A reload takes a replica out for up to a minute or so; six a minute keep
-  // most of a pool of nine or eighteen in service.
-  static constexpr std::size_t kPerMinute = 6;
-  // The same order is sent again when no answer came; a sidecar knows its id.
-  static constexpr DurationUs kRepeat = 2 * kSecond;
-  // Before an order that failed is given anew, under a new id.
-  static constexpr DurationUs kAfterFailure = 10 * kSecond;
+  // Maximum number of orders started per minute. A reload takes a replica out
+  // of service for up to about a minute; at six per minute most of a pool of
+  // nine or eighteen stays in service.
+  static constexpr std::size_t kMaxOrdersPerMinute = 6;
+  // Interval at which an order without an answer is sent again; the sidecar
+  // recognizes its id.
+  static constexpr DurationUs kResendPeriod = 2 * kSecond;
+  // Delay before a failed order is sent again, under a new id.
+  static constexpr DurationUs kFailureRetryDelay = 10 * kSecond;
 
   PoolControl(std::string pool, PoolControlOutput* output, Metrics* metrics);
 
   void SetModels(std::vector<ModelSpec> models);
-  // `fence` is the number held, or zero when the lease is not held.
+  // `fence` is the number held, or zero if the lease is not held.
   void OnTick(TimeUs now,
               FenceNumber fence,
               const std::vector<ControlTarget>& targets);
-  // True when the sidecar wants a number newer than the one held.
+  // Returns true if the sidecar requires a number newer than the one held.
   bool OnResult(TimeUs now,
                 const NodeId& sidecar,
                 const ControlOrderResult& result);
@@ -64,27 +66,28 @@
   bool InProgress() const { return order_.has_value(); }
 
  private:
-  using Done = std::tuple<NodeId, Incarnation, std::string, std::string>;
+  using LoadedModel = std::tuple<NodeId, Incarnation, std::string, std::string>;
   struct Order {
     NodeId sidecar;
     ControlOrder message;
     TimeUs sent_at = 0;
   };
 
-  void Begin(TimeUs now,
-             FenceNumber fence,
-             const std::vector<ControlTarget>& targets);
+  void StartOrder(TimeUs now,
+                  FenceNumber fence,
+                  const std::vector<ControlTarget>& targets);
 
   const std::string pool_;
   PoolControlOutput* const output_;
   Metrics* const metrics_;
   std::vector<ModelSpec> models_;
-  std::set<Done> done_;
+  std::set<LoadedModel> loaded_;
   std::optional<Order> order_;
   FenceNumber fence_ = 0;
   std::uint64_t next_order_ = 1;
-  std::deque<TimeUs> begun_;  // Within the last minute.
-  TimeUs not_before_ = 0;
+  std::deque<TimeUs>
+      recent_starts_;  // Start times of the orders of the last minute.
+  TimeUs earliest_start_ = 0;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/settings/currency.h
+++ b/src/coordination/settings/currency.h
@@ -1,4 +1,4 @@
-// Whether a node can show that its settings are those in force.
+// Interface that tells whether a node can prove that its settings are in force.
 #ifndef ACACIACHUTE_SRC_COORDINATION_SETTINGS_CURRENCY_H_
 #define ACACIACHUTE_SRC_COORDINATION_SETTINGS_CURRENCY_H_
 
@@ -9,8 +9,8 @@
 class Currency {
  public:
   virtual ~Currency() = default;
-  // Asked as a request is admitted, so that a process that was paused cannot
-  // serve what waited in its sockets under settings that are old by now.
+  // Checked when a request is admitted, so that a process that was suspended
+  // does not serve requests from its socket buffers under outdated settings.
   virtual bool IsCurrent(TimeUs now) const = 0;
 };
 
--- a/src/coordination/settings/settings_sync.cc
+++ b/src/coordination/settings/settings_sync.cc
@@ -11,14 +11,15 @@
 namespace acaciachute {
 namespace {
 
-// A question outlives the currency bound never: its answer would prove nothing.
-constexpr DurationUs kQuestionLife = SettingsSync::kCurrencyBound;
+// A gossip request expires after the maximum age of settings, because its
+// answer could then no longer prove that they are in force.
+constexpr DurationUs kGossipRequestTimeout = SettingsSync::kCurrencyBound;
 
 std::uint64_t HashOf(std::string_view text, std::uint64_t seed) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-// Jitter keeps processes that started together from reading together.
+// Spreads the reads of processes that started together.
 DurationUs Jittered(Random* random, DurationUs period) {
   return period * 3 / 4 + static_cast<DurationUs>(random->Below(period / 2));
 }
@@ -46,15 +47,15 @@
     }
   }
   ChooseWitnesses();
-  self_read_age_ =
-      kSelfReadAge + static_cast<DurationUs>(random_->Below(kSelfReadAge));
+  self_read_age_ = kMinSelfReadAge +
+                   static_cast<DurationUs>(random_->Below(kMinSelfReadAge));
 }
 
 void SettingsSync::OnTick(TimeUs now) {
-  ExpireQuestions(now);
-  const DurationUs age = AgeOf(now, proved_at_);
+  ExpireRequests(now);
+  const DurationUs age = AgeOf(now, proof_time_);
   const bool due = is_reader_ || age == kNever || age > self_read_age_;
-  if (due && now >= next_read_ && reads_.size() < kMaxReads) {
+  if (due && now >= next_read_ && reads_.size() < kMaxReadsInProgress) {
     Read(now);
   }
   if (now >= next_gossip_) {
@@ -69,7 +70,7 @@
   reads_[ticket] = now;
   std::vector<StoreOp> ops = {
       {StoreOpKind::kRead, std::string(kSettingsEpochKey), "", 0}};
-  if (epoch_ == 0 || ++epoch_reads_ % kFullReadEvery == 0) {
+  if (epoch_ == 0 || ++epoch_reads_ % kReadsPerFullRead == 0) {
     ops.push_back({StoreOpKind::kScan, std::string(kSettingsPrefix), "", 0});
   }
   metrics_->Count("acaciachute_settings_reads_total");
@@ -91,20 +92,21 @@
   }
   const std::uint64_t epoch = answer.rows[0].version;
   if (answer.rows.size() == 1 && epoch != epoch_) {
-    // A change: read the branches now. Only that read proves anything.
+    // The epoch changed: the branches are read now, and only that read is a
+    // proof.
     epoch_ = 0;
     Read(now);
     return;
   }
   if (answer.rows.size() > 1) {
     epoch_ = std::max(epoch_, epoch);
-    TakeRows(now, answer.rows);
+    ApplyRows(now, answer.rows);
   }
-  proved_at_ = std::max(proved_at_, sent_at);
-  Establish();
+  proof_time_ = std::max(proof_time_, sent_at);
+  UpdateEstablished();
 }
 
-void SettingsSync::TakeRows(TimeUs now, const std::vector<StoreRow>& rows) {
+void SettingsSync::ApplyRows(TimeUs now, const std::vector<StoreRow>& rows) {
   std::vector<BranchBody> bodies;
   for (const auto& row : rows) {
     if (row.key.starts_with(kSettingsPrefix)) {
@@ -128,7 +130,7 @@
       output_->OnBranchRefused(std::string(branch.status().message()));
       continue;
     }
-    // Null when the version would go down, which it never does.
+    // Null if the version is not newer; versions never decrease.
     if (auto with = next->With(*std::move(branch))) {
       next = std::move(with);
     }
@@ -137,20 +139,20 @@
     return false;
   }
   settings_ = std::move(next);
-  hash_ = 0;
-  sum_ = 0;
+  tree_hash_ = 0;
+  version_sum_ = 0;
   for (const auto& [name, branch] : settings_->branches()) {
-    hash_ = HashOf(name, hash_ + branch.version);
-    sum_ += branch.version;
+    tree_hash_ = HashOf(name, tree_hash_ + branch.version);
+    version_sum_ += branch.version;
   }
-  SetMembers();
+  UpdatePeers();
   metrics_->Count("acaciachute_settings_applied_total");
   output_->OnApplied(settings_);
-  Gossip(now);  // A change is news: tell it before the next round.
+  Gossip(now);  // Sends the change at once instead of in the next gossip round.
   return true;
 }
 
-void SettingsSync::SetMembers() {
+void SettingsSync::UpdatePeers() {
   std::map<NodeId, Peer, std::less<>> next;
   for (const auto& [unused, branch] : settings_->branches()) {
     for (const auto& it : branch.entries) {
@@ -165,7 +167,7 @@
   }
 }
 
-// The same at every node that knows the same entries.
+// Gives the same result at every node that knows the same entries.
 void SettingsSync::ChooseWitnesses() {
   std::vector<std::uint64_t> order = {HashOf(node_, 0)};
   for (const auto& [name, unused] : peers_) {
@@ -193,23 +195,24 @@
 }
 
 void SettingsSync::Gossip(TimeUs now) {
-  std::vector<NodeId> open = Peers();
-  for (std::size_t n = 0; n < kFanout && !open.empty(); ++n) {
-    std::swap(open[random_->Below(open.size())], open.back());
+  std::vector<NodeId> candidates = Peers();
+  for (std::size_t n = 0; n < kFanout && !candidates.empty(); ++n) {
+    std::swap(candidates[random_->Below(candidates.size())], candidates.back());
     const std::uint64_t sequence = next_sequence_++;
-    questions_[sequence] = {open.back(), now};
-    output_->Ask(open.back(), sequence);
-    open.pop_back();
+    gossip_requests_[sequence] = {candidates.back(), now};
+    output_->Ask(candidates.back(), sequence);
+    candidates.pop_back();
   }
 }
 
-void SettingsSync::ExpireQuestions(TimeUs now) {
-  while (!questions_.empty() &&
-         questions_.begin()->second.sent_at + kQuestionLife < now) {
-    questions_.erase(questions_.begin());
+void SettingsSync::ExpireRequests(TimeUs now) {
+  while (!gossip_requests_.empty() &&
+         gossip_requests_.begin()->second.sent_at + kGossipRequestTimeout <
+             now) {
+    gossip_requests_.erase(gossip_requests_.begin());
   }
   std::erase_if(pulls_, [now](const auto& it) {
-    return it.second.sent_at + kPullPatience < now;
+    return it.second.sent_at + kPullTimeout < now;
   });
 }
 
@@ -220,8 +223,8 @@
       (members_from_settings_ && peers_.find(from) == peers_.end())) {
     return;
   }
-  // Never forgotten while the settings name no entries: a node that dropped
-  // silent peers would be a majority of one as soon as it is cut.
+  // While the settings name no entries, peers are never removed: a node that
+  // removed unresponsive peers would form a majority of one in a partition.
   if (peers_.find(from) == peers_.end()) {
     peers_[from];
     ChooseWitnesses();
@@ -229,25 +232,25 @@
   Peer& peer = peers_[from];
   peer.hash = heartbeat.settings.hash;
   peer.sum = heartbeat.settings.sum;
-  const auto it = questions_.find(heartbeat.reply_to);
-  if (it != questions_.end() && it->second.peer == from) {
-    const TimeUs asked_at = it->second.sent_at;
-    questions_.erase(it);
-    if (peer.hash == hash_) {
-      TakeProofs(from, asked_at, heartbeat.settings);
+  const auto it = gossip_requests_.find(heartbeat.reply_to);
+  if (it != gossip_requests_.end() && it->second.peer == from) {
+    const TimeUs requested_at = it->second.sent_at;
+    gossip_requests_.erase(it);
+    if (peer.hash == tree_hash_) {
+      MergeProofs(from, requested_at, heartbeat.settings);
     }
   }
-  // The one with the smaller sum asks; with equal sums both do.
-  if (peer.hash != hash_ && peer.sum >= sum_) {
+  // The node with the smaller version sum pulls; with equal sums both do.
+  if (peer.hash != tree_hash_ && peer.sum >= version_sum_) {
     Pull(now, from);
   }
 }
 
 void SettingsSync::Pull(TimeUs now, const NodeId& peer) {
-  const bool asked =
+  const bool already_pulling =
       std::any_of(pulls_.begin(), pulls_.end(),
                   [&](const auto& it) { return it.second.peer == peer; });
-  if (asked || pulls_.size() >= kMaxPulls) {
+  if (already_pulling || pulls_.size() >= kMaxPullsInProgress) {
     return;
   }
   SettingsPull pull;
@@ -274,7 +277,7 @@
     if (known[name] >= branch.version) {
       continue;
     }
-    if (bytes > 0 && bytes + branch.json.size() > kMaxPartBytes) {
+    if (bytes > 0 && bytes + branch.json.size() > kMaxPullPartBytes) {
       output_->SendSettings(from, part);
       part.bodies.clear();
       bytes = 0;
@@ -295,16 +298,17 @@
   if (!bodies.last || it == pulls_.end() || it->second.peer != from) {
     return;
   }
-  // All that the peer had is here, so its proofs hold for this node too.
-  TakeProofs(from, it->second.sent_at, bodies.digest);
+  // This node now has all branches of the peer, so the peer's proofs apply here
+  // too.
+  MergeProofs(from, it->second.sent_at, bodies.digest);
   pulls_.erase(it);
 }
 
-void SettingsSync::TakeProofs(const NodeId& peer,
-                              TimeUs asked_at,
-                              const SettingsDigest& digest) {
+void SettingsSync::MergeProofs(const NodeId& peer,
+                               TimeUs requested_at,
+                               const SettingsDigest& digest) {
   if (digest.proof_age >= 0) {
-    proved_at_ = std::max(proved_at_, asked_at - digest.proof_age);
+    proof_time_ = std::max(proof_time_, requested_at - digest.proof_age);
   }
   const auto witnessed = [&](std::uint64_t witness, TimeUs at) {
     const auto it = witnesses_.find(witness);
@@ -313,19 +317,20 @@
     }
   };
   if (digest.established) {
-    witnessed(HashOf(peer, 0), asked_at);
+    witnessed(HashOf(peer, 0), requested_at);
   }
   for (const auto& it : digest.witnesses) {
-    witnessed(it.witness, asked_at - std::max<DurationUs>(0, it.age));
+    witnessed(it.witness, requested_at - std::max<DurationUs>(0, it.age));
   }
-  Establish();
+  UpdateEstablished();
 }
 
-// Failure: a witness restarts, forgets a change that it helped to accept, and
-// makes up a majority with another that never had it. Symptom: the accepted
-// change reverts. Of n witnesses at least n/2 (rounded down) others hold what
-// was accepted, so half of n, rounded up, of the others have one among them.
-void SettingsSync::Establish() {
+// Decides whether this process may serve and count as a witness after its
+// start. A witness that restarts and forgets a change that it helped to accept
+// could form a majority with one that never had it, and the accepted change
+// would be reverted. Of n witnesses at least n/2 (rounded down) others hold
+// what was accepted, so among n/2 (rounded up) others there is one of them.
+void SettingsSync::UpdateEstablished() {
   if (established_) {
     return;
   }
@@ -335,14 +340,14 @@
         return it.first != own && it.second >= started_;
       }));
   const std::size_t needed = (witnesses_.size() + 1) / 2;
-  established_ = proved_at_ >= started_ || others >= needed;
+  established_ = proof_time_ >= started_ || others >= needed;
 }
 
 SettingsDigest SettingsSync::Digest(TimeUs now) const {
   SettingsDigest digest;
-  digest.hash = hash_;
-  digest.sum = sum_;
-  digest.proof_age = AgeOf(now, proved_at_);
+  digest.hash = tree_hash_;
+  digest.sum = version_sum_;
+  digest.proof_age = AgeOf(now, proof_time_);
   digest.established = established_;
   for (const auto& [witness, at] : witnesses_) {
     if (at >= 0 && now - at <= kCurrencyBound) {
@@ -362,14 +367,14 @@
 }
 
 DurationUs SettingsSync::ProofAge(TimeUs now) const {
-  return AgeOf(now, std::max(proved_at_, WitnessedAt(now)));
+  return AgeOf(now, std::max(proof_time_, WitnessedAt(now)));
 }
 
-// Failure: a node is cut off, or paused and woken, while a change is accepted.
-// Symptom: it serves under the old version for as long as the cut lasts. It
-// takes no new work without a proof younger than the bound.
+// A node that is partitioned or suspended while a change is accepted would
+// serve under the old version until the partition ends. So a node without a
+// proof younger than the limit accepts no new work.
 bool SettingsSync::IsCurrent(TimeUs now) const {
-  const TimeUs at = std::max(proved_at_, WitnessedAt(now));
+  const TimeUs at = std::max(proof_time_, WitnessedAt(now));
   return established_ && now - at <= kCurrencyBound &&
          !settings_->branches().empty();
 }
@@ -377,7 +382,7 @@
 std::size_t SettingsSync::Holders() const {
   std::size_t holders = witnesses_.contains(HashOf(node_, 0)) ? 1 : 0;
   for (const auto& [name, peer] : peers_) {
-    const bool holds = peer.hash == hash_ || peer.sum > sum_;
+    const bool holds = peer.hash == tree_hash_ || peer.sum > version_sum_;
     holders += holds && witnesses_.contains(HashOf(name, 0)) ? 1 : 0;
   }
   return holders;
--- a/src/coordination/settings/settings_write.cc
+++ b/src/coordination/settings/settings_write.cc
@@ -21,7 +21,7 @@
   return it == rows.end() || it->version == 0 ? nullptr : &*it;
 }
 
-// Owner of the nearest branch at or above `name`; empty when there is none.
+// Owner of the nearest branch at or above `name`; empty if there is none.
 std::string NearestOwner(std::string_view name,
                          const std::vector<StoreRow>& rows) {
   while (true) {
@@ -106,9 +106,9 @@
         StrCat("branch ", branch.name, " names no owner"));
   }
   if (owner.empty() && branch.owner != team) {
-    return absl::PermissionDeniedError(
-        StrCat("a new branch at the top belongs to its creator ", team,
-               ", found owner ", branch.owner));
+    return absl::PermissionDeniedError(StrCat(
+        "a new top-level branch must be owned by the team that creates it, ",
+        team, ", found owner ", branch.owner));
   }
   return absl::OkStatus();
 }
@@ -123,7 +123,7 @@
 }
 
 std::vector<StoreOp> SettingsWrite::Next() const {
-  if (!read_) {
+  if (!write_due_) {
     std::vector<StoreOp> ops = {
         {StoreOpKind::kRead, std::string(kSettingsEpochKey), "", 0},
         {StoreOpKind::kScan, std::string(kSettingsPrefix), "", 0}};
@@ -148,7 +148,7 @@
   if (result_) {
     return;
   }
-  if (read_) {
+  if (write_due_) {
     OnWritten(answer);
   } else {
     OnRead(answer);
@@ -157,7 +157,7 @@
 
 void SettingsWrite::OnRead(const StoreAnswer& answer) {
   if (answer.status != StoreStatus::kOk) {
-    CountTry();
+    CountFailedAttempt();
     return;
   }
   const StoreRow* found = FindRow(answer.rows, SettingsRowKey(change_.branch));
@@ -199,9 +199,10 @@
                " is in force"));
     return;
   }
-  // A second read, after another branch moved the epoch, must find the same.
+  // If the epoch moves because of another branch, the second read must find the
+  // same version.
   change_.base = base_;
-  read_ = true;
+  write_due_ = true;
 }
 
 void SettingsWrite::OnWritten(const StoreAnswer& answer) {
@@ -213,50 +214,53 @@
       OnConflict(answer.rows);
       return;
     case StoreStatus::kUnknown:
-      may_have_landed_ = true;
-      CountTry();
+      may_be_applied_ = true;
+      CountFailedAttempt();
       return;
     case StoreStatus::kUnavailable:
-      CountTry();
+      CountFailedAttempt();
       return;
   }
 }
 
 void SettingsWrite::OnConflict(const std::vector<StoreRow>& rows) {
-  // Every write of ours carries its history row, so where that row is absent
-  // or carries another nonce the change in force is another's.
+  // Each write of this change includes its history row; if that row is absent
+  // or carries another nonce, the version in force is from another change.
   const StoreRow* history =
       FindRow(rows, HistoryRowKey(change_.branch, base_ + 1));
   if (history != nullptr) {
     const auto entry = DecodeHistory(*history);
     if (entry.ok() && entry->nonce == nonce_) {
-      End(WriteOutcome::kAccepted, base_ + 1, "settled by reading back");
+      End(WriteOutcome::kAccepted, base_ + 1,
+          "confirmed by reading the history row");
       return;
     }
   }
-  const StoreRow* won = FindRow(rows, SettingsRowKey(change_.branch));
-  if (history == nullptr && won == nullptr &&
+  const StoreRow* winner = FindRow(rows, SettingsRowKey(change_.branch));
+  if (history == nullptr && winner == nullptr &&
       FindRow(rows, kSettingsEpochKey) != nullptr) {
-    // Only the epoch moved: another branch changed, and this one is as it was.
-    // None of our writes stands, or its history row would.
-    read_ = false;
-    CountTry();
+    // Only the epoch moved: another branch changed, and this one is unchanged.
+    // No write of this change was applied, or its history row would exist.
+    write_due_ = false;
+    CountFailedAttempt();
     return;
   }
-  const SettingsVersion version = won == nullptr ? base_ + 1 : won->version;
+  const SettingsVersion version =
+      winner == nullptr ? base_ + 1 : winner->version;
   End(WriteOutcome::kLostRace, version,
-      StrCat("another change won, version ", version));
+      StrCat("another change was written first, version ", version));
 }
 
-void SettingsWrite::CountTry() {
-  if (++tries_ < kMaxTries) {
+void SettingsWrite::CountFailedAttempt() {
+  if (++attempts_ < kMaxAttempts) {
     return;
   }
-  if (may_have_landed_) {
+  if (may_be_applied_) {
     End(WriteOutcome::kUnknown, 0,
-        "the platform did not say whether it took the change");
+        "the platform did not confirm whether the change was written");
   } else {
-    End(WriteOutcome::kUnavailable, 0, "the platform takes no change");
+    End(WriteOutcome::kUnavailable, 0,
+        "the platform does not accept writes; nothing was changed");
   }
 }
 
--- a/src/coordination/settings/settings_write.h
+++ b/src/coordination/settings/settings_write.h
@@ -1,12 +1,12 @@
-// One operator's change of a settings branch: owner checked, compare-and-set,
-// history row in the same transaction.
+// Writes one operator's change of a settings branch: checks the owner, updates
+// the row by compare-and-set and adds a history row in the same transaction.
 //
-// Two operators race: the table takes one change, and the other is told the
-// version that won. An answer is lost after its write took effect: the same
-// transaction is written again under the same nonce. Either it holds, and the
-// lost one no longer can, or the history row that stands carries the nonce and
-// the change is ours. A rollback is a new version with an old body, because a
-// version never goes down anywhere.
+// If two operators race, the table accepts one change, and the other operator
+// receives the version that won. If an answer is lost after its write took
+// effect, the same transaction is written again under the same nonce: either it
+// succeeds, and the lost one can no longer be applied, or the history row in
+// the table carries the nonce, and the change was accepted. A rollback is a new
+// version with an old body, because versions never decrease.
 #ifndef ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_WRITE_H_
 #define ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_WRITE_H_
 
@@ -26,36 +26,36 @@
 
 inline constexpr std::string_view kSettingsPrefix = "settings/";
 inline constexpr std::string_view kHistoryPrefix = "history/";
-// Grows with every change of any branch, in the same transaction, so that a
-// reader learns from one small row that nothing changed.
+// Row whose version grows with every change of any branch, in the same
+// transaction; a reader detects from this small row that nothing changed.
 inline constexpr std::string_view kSettingsEpochKey = "settings_epoch";
-// Bound on one branch; several fit into a frame between processes.
+// Maximum size of one branch; several fit into a frame between processes.
 inline constexpr std::size_t kMaxBranchBytes = 1 << 20;
 
 std::string SettingsRowKey(std::string_view branch);
-// Versions are padded, so that a scan gives them in order.
+// Versions are zero-padded, so that a scan returns them in order.
 std::string HistoryRowKey(std::string_view branch, SettingsVersion version);
 
-// One accepted change, as its history row keeps it.
+// An accepted change, as stored in its history row.
 struct HistoryEntry {
   SettingsVersion version = 0;
   std::uint64_t nonce = 0;
   std::string team;
   std::string note;
-  std::int64_t unix_ms = 0;  // The operator's clock; for people only.
+  std::int64_t unix_ms = 0;  // By the operator's clock; informational only.
   std::string json;
 };
 
 std::string EncodeHistory(const HistoryEntry& entry);
 absl::StatusOr<HistoryEntry> DecodeHistory(const StoreRow& row);
-// Reads a scan of `history/{branch}/`, oldest first; rows of branches below
-// `branch` and rows that cannot be read are passed over.
+// Decodes a scan of `history/{branch}/`, the oldest entry first. Rows of
+// branches below `branch` and unreadable rows are skipped.
 std::vector<HistoryEntry> ReadHistory(std::string_view branch,
                                       const std::vector<StoreRow>& rows);
 
-// Whether `team` may write `branch`. The owner of a branch owns the tree below
-// it until a branch there names another owner; a new branch at the top belongs
-// to the team that creates it. `rows` are those of a scan of `settings/`.
+// Checks whether `team` may write `branch`. The owner of a branch owns the tree
+// below it until a branch there names another owner; a new top-level branch
+// belongs to the team that creates it. `rows` is a scan of `settings/`.
 absl::Status CheckOwner(std::string_view team,
                         const Branch& branch,
                         const std::vector<StoreRow>& rows);
@@ -66,7 +66,8 @@
   kNotOwner,
   kLostRace,
   kUnavailable,  // Nothing was written.
-  kUnknown,      // May have been accepted; the history tells later.
+  // The change may have been accepted; the history shows it later.
+  kUnknown,
 };
 inline constexpr std::array<std::string_view, 6> kWriteOutcomeNames = {
     "accepted", "invalid", "not_owner", "lost_race", "unavailable", "unknown"};
@@ -78,9 +79,10 @@
   std::string branch;
   std::string team;
   std::string json;
-  // Version that the operator edited; without it, the one found.
+  // Version that the operator edited; if unset, the version found.
   std::optional<SettingsVersion> base;
-  // Takes the body from the history instead of `json`.
+  // If set, the body of this version is taken from the history instead of
+  // `json`.
   std::optional<SettingsVersion> roll_back_to;
   std::string note;
   std::int64_t unix_ms = 0;
@@ -88,20 +90,22 @@
 
 struct SettingsWriteResult {
   WriteOutcome outcome = WriteOutcome::kUnknown;
-  // Accepted, or the one that won the race; zero when not known.
+  // The accepted version or the one that won the race; zero if unknown.
   SettingsVersion version = 0;
   std::string detail;
 };
 
-// Hands out one transaction after another until there is a result:
+// Yields one transaction after another until there is a result:
+//
 //   while (!write.result()) write.OnAnswer(table.Transact(write.Next()));
 class SettingsWrite {
  public:
-  // A lost answer is rare and a second loss of the same change rarer; eight
-  // tries outlast a short outage without holding an operator for minutes.
-  static constexpr int kMaxTries = 8;
+  // Maximum number of transactions without a result. A lost answer is rare and
+  // a second loss for the same change rarer; eight attempts outlast a short
+  // outage without blocking an operator for minutes.
+  static constexpr int kMaxAttempts = 8;
 
-  // `nonce` tells this change from every other.
+  // `nonce` distinguishes this change from every other one.
   SettingsWrite(SettingsChange change, std::uint64_t nonce);
 
   std::vector<StoreOp> Next() const;
@@ -112,14 +116,15 @@
   void OnRead(const StoreAnswer& answer);
   void OnWritten(const StoreAnswer& answer);
   void OnConflict(const std::vector<StoreRow>& rows);
-  void CountTry();
+  void CountFailedAttempt();
   void End(WriteOutcome outcome, SettingsVersion version, std::string detail);
 
   SettingsChange change_;
   const std::uint64_t nonce_;
-  bool read_ = false;  // The write is due.
-  bool may_have_landed_ = false;
-  int tries_ = 0;
+  bool write_due_ =
+      false;  // The read is done; the next transaction is the write.
+  bool may_be_applied_ = false;
+  int attempts_ = 0;
   SettingsVersion base_ = 0;
   std::uint64_t epoch_ = 0;
   std::optional<SettingsWriteResult> result_;
--- a/tests/fence_test.cc
+++ b/tests/fence_test.cc
@@ -222,7 +222,7 @@
 TEST(FenceUpstreamTest, OutcomesAreBounded) {
   Rig rig(/*upstream_keeps=*/false);
   rig.row = 2;
-  for (std::size_t n = 0; n < FenceGuard::kMostOutcomes; ++n) {
+  for (std::size_t n = 0; n < FenceGuard::kMaxOutcomes; ++n) {
     rig.Send(rig.Make(std::to_string(n), 2));
   }
   EXPECT_EQ(rig.Send(rig.Make("more", 2)), Refusal::kFull);
--- a/tests/lease_test.cc
+++ b/tests/lease_test.cc
@@ -130,8 +130,9 @@
 };
 
 // Term, the candidate's watch, its place's pause and two calls.
-constexpr DurationUs kTakeOver =
-    Lease::kTerm + 2 * Lease::kWatchPeriod + 3 * Lease::kRankPause + kSecond;
+constexpr DurationUs kTakeOver = Lease::kLeaseDuration +
+                                 2 * Lease::kWatchPeriod +
+                                 3 * Lease::kRankDelay + kSecond;
 
 TEST(LeaseTest, OneHolderRenewsForAnHour) {
   LeaseNet net(3, 1);
@@ -182,7 +183,7 @@
     ASSERT_TRUE(net.Holds(0));
     net.on_step = [&] { EXPECT_LE(net.Holders(), 1); };
     net.Pause(0, true);
-    net.Run(Lease::kTerm - Lease::kMargin);
+    net.Run(Lease::kLeaseDuration - Lease::kClockDriftMargin);
     net.Pause(0, false);  // Reads its answers and is paused again.
     net.Pause(0, true);
     net.Run(kTakeOver);
@@ -209,7 +210,7 @@
   LeaseNet net(2, 5);
   net.Run(2 * kSecond);
   net.table.down = true;
-  net.Run(Lease::kTerm);
+  net.Run(Lease::kLeaseDuration);
   net.on_step = [&] { EXPECT_EQ(net.Holders(), 0); };
   net.Run(50 * kSecond);
   net.on_step = [&] { EXPECT_LE(net.Holders(), 1); };
@@ -225,7 +226,7 @@
   EXPECT_FALSE(net.Holds(0));
   net.Run(kSecond);
   net.Kill(0);
-  net.Run(2 * Lease::kWatchPeriod + 3 * Lease::kRankPause);
+  net.Run(2 * Lease::kWatchPeriod + 3 * Lease::kRankDelay);
   EXPECT_TRUE(net.Holds(1));
   EXPECT_EQ(net.lease(1).fence(), 2U);
 }
--- a/tests/pool_control_test.cc
+++ b/tests/pool_control_test.cc
@@ -49,7 +49,7 @@
 // knows: there is no second load.
 TEST_F(PoolControlTest, LostAnswerRepeatsTheSameOrder) {
   Tick();
-  Tick(PoolControl::kRepeat);
+  Tick(PoolControl::kResendPeriod);
   ASSERT_EQ(sent_.size(), 2U);
   EXPECT_EQ(sent_[0].second.order_id, sent_[1].second.order_id);
 }
@@ -83,7 +83,7 @@
       Answer(Refusal::kNone);
     }
   }
-  EXPECT_EQ(sent_.size(), PoolControl::kPerMinute);
+  EXPECT_EQ(sent_.size(), PoolControl::kMaxOrdersPerMinute);
 }
 
 // A sidecar that started under the number in force refuses to guess what its
@@ -93,7 +93,7 @@
   EXPECT_TRUE(Answer(Refusal::kNotCurrent));
   Tick();
   EXPECT_EQ(sent_.size(), 1U);  // Not before the pause.
-  Tick(PoolControl::kAfterFailure);
+  Tick(PoolControl::kFailureRetryDelay);
   EXPECT_EQ(sent_.size(), 2U);
 }
 
