--- a/src/coordination/interface/claims.cc
+++ b/src/coordination/interface/claims.cc
@@ -66,21 +66,21 @@
   // The claim of this entry, as written or to be written.
   Claim claim;
   // Version that the next write replaces; zero: the row is inserted.
-  std::uint64_t base = 0;
+  std::uint64_t base_version = 0;
   // A write of this entry had no answer: it may have been applied or may still
   // be.
   bool may_be_applied = false;
-  int tries = 0;
+  int write_attempts = 0;
   int reclaims = 0;
   std::optional<RequestId> owner;
   // Waiting copies of the request, all with the claim's body.
   std::vector<RequestId> waiters;
   bool in_flight = false;
   // Claim state in the write that is in flight.
-  ClaimState written = ClaimState::kClaimed;
+  ClaimState state_in_flight = ClaimState::kClaimed;
   TimeUs due = kNever;
-  DurationUs pause = 0;
-  TimeUs settle_until = 0;
+  DurationUs retry_delay = 0;
+  TimeUs retry_until = 0;
 };
 
 // Returns the answer to a later or concurrent copy, by the state of the claim.
@@ -256,14 +256,14 @@
 }
 
 void Claims::Impl::Write(TimeUs now, RowState& row) {
-  ++row.tries;
+  ++row.write_attempts;
   row.in_flight = true;
-  row.written = row.claim.state;
+  row.state_in_flight = row.claim.state;
   StoreOp op;
-  op.kind = row.base == 0 ? StoreOpKind::kInsert : StoreOpKind::kUpdate;
+  op.kind = row.base_version == 0 ? StoreOpKind::kInsert : StoreOpKind::kUpdate;
   op.key = row.key;
   op.value = EncodeClaim(row.claim);
-  op.version = row.base;
+  op.version = row.base_version;
   writes.Add(now, std::move(op),
              [this, key = row.key, serial = row.serial](
                  TimeUs at, StoreStatus status, const StoreRow& table_row) {
@@ -306,7 +306,7 @@
     return;
   }
   row.may_be_applied = row.may_be_applied || status == StoreStatus::kUnknown;
-  if (status == StoreStatus::kUnknown && row.tries < kMaxClaimWrites) {
+  if (status == StoreStatus::kUnknown && row.write_attempts < kMaxClaimWrites) {
     metrics->Count("acaciachute_claim_retries_total");
     Write(now, row);
     return;
@@ -357,7 +357,7 @@
 
 void Claims::Impl::Hold(TimeUs now, RowState& row, std::uint64_t version) {
   row.phase = Phase::kHeld;
-  row.base = version;
+  row.base_version = version;
   row.may_be_applied = false;
   events->OnClaimHeld(now, *row.owner);
 }
@@ -370,9 +370,9 @@
                            const StoreRow& table_row) {
   metrics->Count("acaciachute_claim_reclaims_total");
   ++row.reclaims;
-  row.base = table_row.version;
+  row.base_version = table_row.version;
   row.may_be_applied = false;
-  row.tries = 0;
+  row.write_attempts = 0;
   Write(now, row);
 }
 
@@ -382,8 +382,8 @@
   const RequestId id = *row.owner;
   row.waiters.insert(row.waiters.begin(), id);
   row.owner.reset();
-  row.pause = kInitialPollInterval;
-  Schedule(row, now + row.pause);
+  row.retry_delay = kInitialPollInterval;
+  Schedule(row, now + row.retry_delay);
   events->OnClaimElsewhere(now, id);
 }
 
@@ -412,8 +412,8 @@
     AnswerAll(now, *row, AnswerFromClaim(*other));
     return;
   }
-  row->pause = std::min(kMaxPollInterval, 2 * row->pause);
-  Schedule(*row, now + row->pause);
+  row->retry_delay = std::min(kMaxPollInterval, 2 * row->retry_delay);
+  Schedule(*row, now + row->retry_delay);
 }
 
 void Claims::Impl::Settle(TimeUs now,
@@ -432,8 +432,8 @@
     row.claim.state = ClaimState::kMayHaveRun;
     row.claim.reason = Refusal::kTooLarge;
   }
-  row.pause = kInitialOutcomeRetryDelay;
-  row.settle_until = now + kOutcomeRetryDuration;
+  row.retry_delay = kInitialOutcomeRetryDelay;
+  row.retry_until = now + kOutcomeRetryDuration;
   unsettled_bytes += row.claim.answer.size();
   settling[row.serial] = row.key;
   // The answer to a claim's write in flight carries the version that the
@@ -456,8 +456,8 @@
                                     const StoreRow& table_row) {
   if (status == StoreStatus::kOk) {
     // The write in flight was the claim's, sent before the request ended.
-    if (row.written != row.claim.state) {
-      row.base = table_row.version;
+    if (row.state_in_flight != row.claim.state) {
+      row.base_version = table_row.version;
       Write(now, row);
       return;
     }
@@ -468,22 +468,22 @@
     const auto other = DecodeClaim(table_row.value);
     const bool ours = other.ok() && other->nonce == row.claim.nonce &&
                       other->state == ClaimState::kClaimed;
-    if (ours && table_row.version != row.base) {
-      row.base = table_row.version;
+    if (ours && table_row.version != row.base_version) {
+      row.base_version = table_row.version;
       Write(now, row);
       return;
     }
     Forget(row);
     return;
   }
-  if (now >= row.settle_until) {
+  if (now >= row.retry_until) {
     metrics->Count("acaciachute_outcomes_dropped_total");
     Forget(row);
     return;
   }
   metrics->Count("acaciachute_outcome_retries_total");
-  Schedule(row, now + row.pause);
-  row.pause = std::min(kMaxOutcomeRetryDelay, 2 * row.pause);
+  Schedule(row, now + row.retry_delay);
+  row.retry_delay = std::min(kMaxOutcomeRetryDelay, 2 * row.retry_delay);
 }
 
 // Drops the oldest outcomes beyond the limits. The outcome added last is never
--- a/src/coordination/settings/settings_sync.cc
+++ b/src/coordination/settings/settings_sync.cc
@@ -131,8 +131,8 @@
       continue;
     }
     // Null if the version is not newer; versions never decrease.
-    if (auto with = next->With(*std::move(branch))) {
-      next = std::move(with);
+    if (auto updated = next->With(*std::move(branch))) {
+      next = std::move(updated);
     }
   }
   if (next == settings_) {
