--- a/src/coordination/interface/claims.cc
+++ b/src/coordination/interface/claims.cc
@@ -248,10 +248,10 @@
   }
   by_request[subject.id] = row.key;
   row.waiters.push_back(subject.id);
-  events->OnClaimElsewhere(now, subject.id);
+  events->OnClaimHeldElsewhere(now, subject.id);
   // Whichever of the two ends first, the other may still run.
   if (row.phase == Phase::kClaiming) {
-    events->OnClaimElsewhere(now, *row.owner);
+    events->OnClaimHeldElsewhere(now, *row.owner);
   }
 }
 
@@ -384,7 +384,7 @@
   row.owner.reset();
   row.retry_delay = kInitialPollInterval;
   Schedule(row, now + row.retry_delay);
-  events->OnClaimElsewhere(now, id);
+  events->OnClaimHeldElsewhere(now, id);
 }
 
 void Claims::Impl::Poll(TimeUs now, RowState& row) {
@@ -508,7 +508,7 @@
                                    metrics)) {}
 Claims::~Claims() = default;
 
-void Claims::Take(TimeUs now, const ClaimSubject& subject) {
+void Claims::Acquire(TimeUs now, const ClaimSubject& subject) {
   std::string key = ClaimRowKey(subject.account, subject.key);
   const auto it = impl_->rows.find(key);
   if (it != impl_->rows.end()) {
@@ -557,10 +557,10 @@
   impl_->AnswerAll(now, row, stored_answer);
 }
 
-void Claims::Ask(TimeUs now,
-                 CallerHandle handle,
-                 std::string_view account,
-                 std::string_view key) {
+void Claims::LookUpStatus(TimeUs now,
+                          CallerHandle handle,
+                          std::string_view account,
+                          std::string_view key) {
   std::string row_key = ClaimRowKey(account, key);
   const auto it = impl_->rows.find(row_key);
   // A request refused at this entry may have run at another one, so the table
--- a/src/coordination/interface/claims.h
+++ b/src/coordination/interface/claims.h
@@ -37,7 +37,7 @@
   // run.
   virtual void OnClaimHeld(TimeUs now, RequestId id) = 0;
   // Another copy holds the claim and may run; this copy waits for its answer.
-  virtual void OnClaimElsewhere(TimeUs now, RequestId id) = 0;
+  virtual void OnClaimHeldElsewhere(TimeUs now, RequestId id) = 0;
   // The request ends with `answer`, and the claim keeper has removed it.
   virtual void OnClaimAnswer(TimeUs now, RequestId id, CallerAnswer answer) = 0;
   virtual void OnClaimStatus(CallerHandle handle, CallerAnswer answer) = 0;
@@ -48,14 +48,14 @@
 class ClaimKeeper {
  public:
   virtual ~ClaimKeeper() = default;
-  virtual void Take(TimeUs now, const ClaimSubject& subject) = 0;
+  virtual void Acquire(TimeUs now, const ClaimSubject& subject) = 0;
   // The request ended here, and `answer` was sent to its caller.
   virtual void End(TimeUs now, RequestId id, const CallerAnswer& answer) = 0;
   // Looks up the status of a request and reports it by `OnClaimStatus`.
-  virtual void Ask(TimeUs now,
-                   CallerHandle handle,
-                   std::string_view account,
-                   std::string_view key) = 0;
+  virtual void LookUpStatus(TimeUs now,
+                            CallerHandle handle,
+                            std::string_view account,
+                            std::string_view key) = 0;
   virtual void OnTick(TimeUs now) = 0;
   virtual TimeUs NextWakeup() const = 0;
   // Number of outcomes that are not yet confirmed in the table.
@@ -79,12 +79,12 @@
          Metrics* metrics);
   ~Claims() override;
 
-  void Take(TimeUs now, const ClaimSubject& subject) override;
+  void Acquire(TimeUs now, const ClaimSubject& subject) override;
   void End(TimeUs now, RequestId id, const CallerAnswer& answer) override;
-  void Ask(TimeUs now,
-           CallerHandle handle,
-           std::string_view account,
-           std::string_view key) override;
+  void LookUpStatus(TimeUs now,
+                    CallerHandle handle,
+                    std::string_view account,
+                    std::string_view key) override;
   void OnTick(TimeUs now) override;
   TimeUs NextWakeup() const override;
   std::size_t Unsettled() const override;
--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -58,7 +58,7 @@
 
   // ClaimEvents:
   void OnClaimHeld(TimeUs now, RequestId id) override;
-  void OnClaimElsewhere(TimeUs now, RequestId id) override;
+  void OnClaimHeldElsewhere(TimeUs now, RequestId id) override;
   void OnClaimAnswer(TimeUs now, RequestId id, CallerAnswer answer) override;
   void OnClaimStatus(CallerHandle handle, CallerAnswer answer) override {
     output->Answer(handle, answer);
@@ -221,8 +221,8 @@
       it.service_pool.empty()
           ? it.event
           : StrCat("service ", it.service_pool, " ", it.service_path);
-  claims->Take(now,
-               {request.id, it.account, it.key, BodyHash(target, it.body)});
+  claims->Acquire(now,
+                  {request.id, it.account, it.key, BodyHash(target, it.body)});
 }
 
 void Entry::Impl::StartTrace(EntryRequest& request) {
@@ -243,7 +243,7 @@
   }
 }
 
-void Entry::Impl::OnClaimElsewhere(TimeUs now, RequestId id) {
+void Entry::Impl::OnClaimHeldElsewhere(TimeUs now, RequestId id) {
   if (EntryRequest* request = Find(id)) {
     request->may_have_run = true;
   }
@@ -346,8 +346,8 @@
 }
 
 void Entry::OnRequest(TimeUs now, CallerRequest request) {
-  const Currency* currency = impl_->options.currency;
-  if (currency != nullptr && !currency->IsCurrent(now)) {
+  const Currency* freshness = impl_->options.freshness;
+  if (freshness != nullptr && !freshness->IsCurrent(now)) {
     impl_->Refuse(request, MakeRefusal(Verdict::kNotRun, Refusal::kNotCurrent));
     return;
   }
@@ -381,7 +381,7 @@
                      CallerHandle handle,
                      std::string_view account,
                      std::string_view key) {
-  impl_->claims->Ask(now, handle, account, key);
+  impl_->claims->LookUpStatus(now, handle, account, key);
 }
 
 // Cancels the request through to the upstream, because no caller waits for it.
--- a/src/coordination/interface/entry.h
+++ b/src/coordination/interface/entry.h
@@ -47,7 +47,7 @@
   // Maximum number of requests in progress.
   std::size_t max_requests = 4096;
   // Null: the settings always count as current.
-  const Currency* currency = nullptr;
+  const Currency* freshness = nullptr;
   // This entry's share of the table's transaction rate for claims.
   double claim_transactions_per_second = 100;
 };
--- a/tests/claims_property_test.cc
+++ b/tests/claims_property_test.cc
@@ -1,6 +1,7 @@
-// Properties over generated schedules: copies of keys at several entries while
-// the table loses, delays and doubles, messages are lost, late and doubled, and
-// processes die, restart and pause. Runs are counted at the upstream's side.
+// Property tests over generated schedules: several entries receive copies of
+// the same keys while answers of the table and messages are lost, delayed and
+// duplicated, and processes stop, restart and pause. Runs are counted at the
+// upstreams.
 #include <map>
 
 #include "coordination/interface/claims.h"
@@ -15,14 +16,14 @@
 constexpr int kSidecars = 2;
 constexpr int kKeys = 2;
 
-// One thing that happens, from numbers that rapidcheck can shrink.
+// One event of a schedule, made of numbers that rapidcheck can shrink.
 struct Step {
   int kind = 0;
   int at_ms = 0;
   int target = 0;
 };
 
-// What the next store calls and messages meet; zero is no fault.
+// Faults of the next store calls and messages, in order; zero is no fault.
 struct Schedule {
   std::vector<Step> steps;
   std::vector<int> store;
@@ -58,15 +59,18 @@
                                            60, rc::gen::inRange(0, 16))));
 }
 
-// Says "held" to everybody: what the system would be without claims.
+// Reports every claim as held: the system without claims.
 class NoClaims : public ClaimKeeper {
  public:
   explicit NoClaims(ClaimEvents* events) : events_(events) {}
-  void Take(TimeUs now, const ClaimSubject& subject) override {
+  void Acquire(TimeUs now, const ClaimSubject& subject) override {
     events_->OnClaimHeld(now, subject.id);
   }
   void End(TimeUs, RequestId, const CallerAnswer&) override {}
-  void Ask(TimeUs, CallerHandle, std::string_view, std::string_view) override {}
+  void LookUpStatus(TimeUs,
+                    CallerHandle,
+                    std::string_view,
+                    std::string_view) override {}
   void OnTick(TimeUs) override {}
   TimeUs NextWakeup() const override {
     return std::numeric_limits<TimeUs>::max();
@@ -101,7 +105,7 @@
 
   struct Sent {
     CallerHandle handle = 0;
-    std::string text;  // Appears in the bodies of its runs alone.
+    std::string text;  // Unique part of the bodies of this request's runs.
     bool once = false;
   };
 
@@ -204,7 +208,7 @@
   }
 }
 
-// Verdicts and answers of one schedule, judged by what callers received.
+// Checks the verdicts and answers that callers received in one schedule.
 void CheckAnswers(const Schedule& schedule, const DriverOptions& options) {
   ScheduleRun run(schedule, options);
   std::map<std::string, bool> all_not_run;
@@ -226,16 +230,16 @@
   }
 }
 
-// Whatever the table, the network and the processes do, no order reaches an
-// upstream twice, because only the holder of the row's claim may run.
+// Whatever faults the table, the network and the processes have, no order
+// reaches an upstream twice, because only the holder of the claim may run.
 TEST(ClaimsPropertyTest, NoKeyRunsTwice) {
   EXPECT_EQ(
       CounterExample(11, 400, [] { CheckOnce(*AnySchedule(), Options()); }),
       "");
 }
 
-// The same schedules with claims that always say "held" must show a second run;
-// otherwise the property above would prove nothing.
+// Control for the property above: without claims, the same schedules must show
+// a second run.
 TEST(ClaimsPropertyTest, WithoutClaimsAKeyRunsTwice) {
   DriverOptions options = Options();
   options.make_claims = [](ClaimEvents* events) {
@@ -245,16 +249,16 @@
       CounterExample(11, 400, [&] { CheckOnce(*AnySchedule(), options); }), "");
 }
 
-// A caller that is told "not run" for every copy that it sent finds no run at
-// any upstream; each answer is whole, its own, and comes at most once.
+// If all copies of a request were answered "not run", no upstream ran it. Each
+// answer is complete, belongs to its caller, and arrives at most once.
 TEST(ClaimsPropertyTest, NotRunIsTrueAndAnswersAreOwn) {
   EXPECT_EQ(
       CounterExample(12, 400, [] { CheckAnswers(*AnySchedule(), Options()); }),
       "");
 }
 
-// The same over two stages: a request whose first stage ran is never told "not
-// run" when its second one was refused, lost or late.
+// The same over two stages: a request whose first stage ran is never answered
+// "not run" because its second stage was refused, lost or late.
 TEST(ClaimsPropertyTest, NotRunIsTrueOverAllStages) {
   DriverOptions options = Options();
   options.pools.insert(options.pools.begin(),
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -1,5 +1,6 @@
-// At most once: what the callers of one key see while the table loses answers,
-// lands writes late or is down, and while entries die.
+// Tests of the at-most-once guarantee: what the callers of one key receive
+// while the table loses answers, applies writes late or is down, and while
+// entries stop.
 #include "coordination/interface/claims.h"
 
 #include <gtest/gtest.h>
@@ -52,8 +53,9 @@
   EXPECT_NE(ClaimRowKey("a", "%FF"), ClaimRowKey("a", "\xff"));
 }
 
-// 200 orders arrive within one millisecond. All are answered; their 400 writes
-// leave in a few dozen transactions; the table would refuse most of 400.
+// 200 orders arrive within one millisecond. All are answered, and their 400
+// writes are sent in a few dozen transactions; the table would refuse most of
+// 400.
 TEST(ClaimsTest, WritesOfABurstAreGrouped) {
   CoreDriver driver({});
   std::vector<CallerHandle> handles;
@@ -71,9 +73,9 @@
   EXPECT_LT(metrics.Value("acaciachute_claim_transactions_total"), 100);
 }
 
-// One caller sends the same order to both entries in the same moment. One entry
-// claims and runs it, the other waits for the stored answer; both callers get
-// the same whole answer. Without the claim two vans would drive.
+// One caller sends the same order to both entries at once. One entry claims and
+// runs it, the other waits for the stored answer, and both callers receive the
+// same complete answer. Without the claim the order would be executed twice.
 TEST(ClaimsTest, CopiesAtTwoEntriesRunOnceAndBothAreAnswered) {
   CoreDriver driver(TwoEntries());
   const auto request = CoreDriver::MakeOnce("k", R"("two")");
@@ -85,8 +87,8 @@
   EXPECT_EQ(driver.RunsOf("two"), 1);
 }
 
-// The conflict of one order's claim comes back for a whole group of claims. The
-// others of the group held nothing yet; they are written again and all run.
+// A conflict on one order's claim fails a whole batch of claims. The others of
+// the batch are not held yet; they are written again and all run.
 TEST(ClaimsTest, ConflictOfOneLeavesTheOthersOfItsGroup) {
   CoreDriver driver(TwoEntries());
   driver.Ask(1, CoreDriver::MakeOnce("k0", R"("c0.")"));
@@ -104,8 +106,8 @@
   }
 }
 
-// The caller places an order while the table is down. It is told at once, not
-// at its deadline, that nothing ran and when to come back; once the table is
+// The caller places an order while the table is down. It is answered at once,
+// not at its deadline, that nothing ran and when to retry; once the table is
 // up, the same key runs once.
 TEST(ClaimsTest, TableDownIsRefusedAtOnceAndTheKeyStaysUsable) {
   CoreDriver driver({});
@@ -124,9 +126,10 @@
   EXPECT_EQ(driver.RunsOf("down"), 1);
 }
 
-// Every answer to the claim's writes is lost, and one write lands long after
-// the caller was told "not run". The row is filled with the refusal, so that
-// the late claim neither runs nor blocks the key: the resend runs once.
+// Every answer to the claim's writes is lost, and one write is applied long
+// after the caller was answered "not run". The outcome "refused" is written to
+// the row, so that the late claim neither runs nor blocks the key: the resent
+// request runs once.
 TEST(ClaimsTest, ClaimThatLandsLateIsSettledAsRefused) {
   CoreDriver driver(TwoEntries());
   driver.store_fault = FaultFor(3, StoreFault::kLandLate);
@@ -142,8 +145,9 @@
   EXPECT_EQ(driver.RunsOf("late"), 1);
 }
 
-// The table goes down while an order runs. The caller has its answer; the
-// outcome is written when the table is back, so the status call gives it again.
+// The table goes down while an order runs. The caller receives its answer; the
+// outcome is written when the table is back, so the status call returns the
+// answer again.
 TEST(ClaimsTest, OutcomeIsWrittenAfterTheOutage) {
   CoreDriver driver(TwoEntries());
   const auto handle = driver.Ask(0, CoreDriver::MakeOnce("k", R"("o")"));
@@ -160,9 +164,10 @@
   EXPECT_EQ(OnlyAnswer(driver, 999).body, OnlyAnswer(driver, handle).body);
 }
 
-// The entry dies while the order runs; the caller resends to another entry. The
-// claim of the dead entry is never taken over: the resend says "may have run"
-// at its deadline, and at once at the dead entry's successor.
+// The entry stops while the order runs, and the caller resends to another
+// entry. The claim of the stopped entry is never taken over: the resent request
+// is answered "may have run" at its deadline, and at once by the stopped
+// entry's successor.
 TEST(ClaimsTest, ClaimOfADeadEntryIsNeverTakenOver) {
   CoreDriver driver(TwoEntries());
   driver.Ask(0, CoreDriver::MakeOnce("k", R"("dead")"));
@@ -181,9 +186,9 @@
   EXPECT_EQ(driver.RunsOf("dead"), 1);
 }
 
-// A key comes again with another body, at the entry that runs the first, at
-// another entry meanwhile, and after the answer. Each is refused as key reuse
-// and nothing of the second body runs.
+// A key is reused with another body: at the entry that runs the first request,
+// at another entry meanwhile, and after the answer. Each is refused as key
+// reuse, and nothing of the second body runs.
 TEST(ClaimsTest, KeyReusedWithAnotherBodyIsRefused) {
   CoreDriver driver(TwoEntries());
   driver.Ask(0, CoreDriver::MakeOnce("k", R"("a1")"));
@@ -201,16 +206,19 @@
   EXPECT_EQ(driver.RunsOf("b1"), 0);
 }
 
-// The caller hangs up before its claim stands: nothing may run for it, and the
-// row says so. It hangs up while the order runs: the order is finished and its
-// answer kept, because cutting it would leave the caller not knowing.
+// If the caller disconnects before its claim is held, nothing may run, and the
+// row is marked refused. If it disconnects while the order runs, the order is
+// finished and its answer stored, because the caller could otherwise not learn
+// the outcome.
 TEST(ClaimsTest, HangUpBeforeAndAfterTheClaim) {
   CoreDriver driver({});
-  const auto early = driver.Ask(0, CoreDriver::MakeOnce("k1", R"("early")"));
-  driver.HangUp(0, early);
-  const auto late = driver.Ask(0, CoreDriver::MakeOnce("k2", R"("during")"));
+  const auto cancelled_early =
+      driver.Ask(0, CoreDriver::MakeOnce("k1", R"("early")"));
+  driver.HangUp(0, cancelled_early);
+  const auto cancelled_late =
+      driver.Ask(0, CoreDriver::MakeOnce("k2", R"("during")"));
   driver.Run(9 * kMillisecond);
-  driver.HangUp(0, late);
+  driver.HangUp(0, cancelled_late);
   driver.Run(kSecond);
   EXPECT_EQ(driver.RunsOf("early"), 0);
   EXPECT_EQ(RowOf(driver, "k1").state, ClaimState::kRefused);
@@ -218,8 +226,8 @@
   EXPECT_EQ(RowOf(driver, "k2").state, ClaimState::kAnswered);
 }
 
-// No replica takes the order. The caller is told "not run", and the key may be
-// used again once a replica is there.
+// No replica accepts the order. The caller is answered "not run", and the key
+// may be used again once there is a replica.
 TEST(ClaimsTest, RefusedKeyMayBeUsedAgain) {
   CoreDriver driver(TwoEntries());
   driver.sidecar("orders-1").SetState(NodeState::kLeaving);
@@ -235,8 +243,8 @@
   EXPECT_EQ(driver.RunsOf("\"r\""), 1);
 }
 
-// Takes calls to the table and never answers them.
-struct SilentStore : StoreOutput {
+// A store that never answers calls on its own; the test answers them.
+struct UnansweredStore : StoreOutput {
   void CallStore(StoreTicket ticket, std::vector<StoreOp> ops) override {
     waiting[ticket] = std::move(ops);
   }
@@ -245,24 +253,25 @@
 
 struct HeldClaims : ClaimEvents {
   void OnClaimHeld(TimeUs, RequestId id) override { held.push_back(id); }
-  void OnClaimElsewhere(TimeUs, RequestId) override {}
+  void OnClaimHeldElsewhere(TimeUs, RequestId) override {}
   void OnClaimAnswer(TimeUs, RequestId, CallerAnswer) override {}
   void OnClaimStatus(CallerHandle, CallerAnswer) override {}
   std::vector<RequestId> held;
 };
 
-// The table falls silent for an hour with a thousand answers of 64 KiB to be
-// written. Memory stays bounded: the oldest are given up and counted, and their
-// callers are told "may have run" from the claims that stand.
+// The table does not answer for an hour, with a thousand answers of 64 KiB to
+// be written. Memory stays bounded: the oldest outcomes are dropped and
+// counted, and their callers receive "may have run" from the claims in the
+// table.
 TEST(ClaimsTest, OutcomesOfAnOutageAreBounded) {
-  SilentStore table;
+  UnansweredStore table;
   HeldClaims events;
   StoreCalls calls(&table);
   Random random(1);
   Metrics metrics;
   Claims claims({"entry-0", 1, 1e6}, &calls, &events, &random, &metrics);
   for (std::uint64_t n = 0; n < 1000; ++n) {
-    claims.Take(n, {{1, n}, "office", StrCat("k", n), 7});
+    claims.Acquire(n, {{1, n}, "office", StrCat("k", n), 7});
     while (events.held.size() <= n) {
       ASSERT_FALSE(table.waiting.empty());
       const auto [ticket, ops] = *table.waiting.begin();
--- a/tests/core_driver.cc
+++ b/tests/core_driver.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr DurationUs kHeartbeatPeriod = 200 * kMillisecond;
-// Ticks come late by up to this, as from a loop with millisecond timers.
+// Maximum delay of a tick, as in an event loop with millisecond timers.
 constexpr DurationUs kTickPeriod = kMillisecond;
 
 SettingsPtr MakeSettings(const DriverOptions& options) {
@@ -91,8 +91,8 @@
   for (int n = 0; n < options_.entries; ++n) {
     StartEntry(n);
   }
-  Heartbeats();
-  Ticks();
+  SendHeartbeats();
+  RunTicks();
   Run(3 * options_.one_way);
 }
 
@@ -125,20 +125,21 @@
 template <typename Process>
 void CoreDriver::Deliver(Process* process, std::function<void()> task) {
   if (process->paused) {
-    process->held.push_back(std::move(task));
+    process->deferred.push_back(std::move(task));
   } else {
     task();
   }
 }
 
-// Runs `task` in `process` after `delay`, unless it died or was replaced.
+// Runs `task` in `process` after `delay`, unless the process stopped or was
+// replaced.
 template <typename Process>
-void CoreDriver::Later(Process* process,
-                       DurationUs delay,
-                       std::function<void()> task) {
-  const std::uint64_t life = process->life;
-  At(now_ + delay, [this, process, life, task = std::move(task)] {
-    if (process->alive && process->life == life) {
+void CoreDriver::RunAfter(Process* process,
+                          DurationUs delay,
+                          std::function<void()> task) {
+  const std::uint64_t start_count = process->start_count;
+  At(now_ + delay, [this, process, start_count, task = std::move(task)] {
+    if (process->alive && process->start_count == start_count) {
       Deliver(process, task);
     }
   });
@@ -155,7 +156,7 @@
                                 const Message& message) {
   const NodeId from = EntryName(n);
   for (const DurationUs delay : FateOf(from, to, message).delays) {
-    // By name: what is late may arrive at a successor.
+    // Looked up by name, because a late message may arrive at a successor.
     At(now_ + delay, [this, from, to, message] {
       SidecarProcess& process = sidecars_.at(to);
       if (process.alive) {
@@ -226,23 +227,24 @@
   const StoreFault fault = store_fault ? store_fault(ops) : StoreFault::kNone;
   const auto answer = [this, process, ticket](DurationUs delay,
                                               StoreAnswer it) {
-    Later(process, delay, [this, process, ticket, it = std::move(it)] {
+    RunAfter(process, delay, [this, process, ticket, it = std::move(it)] {
       process->core->OnStoreAnswer(now_, ticket, it);
     });
   };
-  const DurationUs half = options_.store_time / 2;
+  const DurationUs one_way_time = options_.store_time / 2;
   if (fault == StoreFault::kDown) {
-    answer(half, {StoreStatus::kUnavailable, {}});
+    answer(one_way_time, {StoreStatus::kUnavailable, {}});
     return;
   }
   if (fault == StoreFault::kLandLate) {
-    answer(2 * half, {StoreStatus::kUnknown, {}});
+    answer(2 * one_way_time, {StoreStatus::kUnknown, {}});
     At(now_ + options_.late_landing,
        [this, ops = std::move(ops)] { ApplyStore(ops); });
     return;
   }
-  // The write takes effect even when its sender dies in the meantime.
-  At(now_ + half, [this, fault, answer, half, ops = std::move(ops)] {
+  // The write takes effect even if its sender stops in the meantime.
+  At(now_ + one_way_time, [this, fault, answer, one_way_time,
+                           ops = std::move(ops)] {
     StoreAnswer it;
     if (fault != StoreFault::kLoseBefore) {
       it = ApplyStore(ops);
@@ -250,9 +252,9 @@
     if (fault == StoreFault::kLoseBefore || fault == StoreFault::kLoseAfter) {
       it = {StoreStatus::kUnknown, {}};
     }
-    answer(half, it);
+    answer(one_way_time, it);
     if (fault == StoreFault::kAnswerTwice) {
-      answer(2 * half, it);
+      answer(2 * one_way_time, it);
     }
   });
 }
@@ -264,7 +266,7 @@
   runs_.push_back({node, call.key, call.body, now_});
   process->running[id] = call;
   if (crashes && crashes(node, call)) {
-    Later(process, kMillisecond, [this, process, node, id] {
+    RunAfter(process, kMillisecond, [this, process, node, id] {
       if (process->running.contains(id)) {
         CrashUpstream(node);
       }
@@ -277,13 +279,13 @@
                : StrCat(R"({"by":")", node, R"(","input":)", call.body, "}");
   const int parts = call.stream ? stream_parts : 0;
   for (int n = 0; n < parts; ++n) {
-    Later(process, service * (n + 1) / (parts + 1), [this, process, id, n] {
+    RunAfter(process, service * (n + 1) / (parts + 1), [this, process, id, n] {
       if (process->running.contains(id)) {
         process->core->OnUpstreamChunk(now_, id, StrCat("part", n, ";"), false);
       }
     });
   }
-  Later(process, service, [this, process, id, body, parts] {
+  RunAfter(process, service, [this, process, id, body, parts] {
     if (process->running.erase(id) > 0) {
       process->core->OnUpstreamChunk(now_, id, parts > 0 ? "" : body, true);
     }
@@ -301,11 +303,11 @@
   const NodeId from = EntryName(n);
   SidecarProcess* process = &sidecars_.at(to);
   for (const DurationUs delay : FateOf(from, to, heartbeat).delays) {
-    Later(process, delay,
-          [this, process, from, incarnation = entries_[n].incarnation,
-           heartbeat] {
-            process->core->OnHeartbeat(now_, from, incarnation, heartbeat);
-          });
+    RunAfter(process, delay,
+             [this, process, from, incarnation = entries_[n].incarnation,
+              heartbeat] {
+               process->core->OnHeartbeat(now_, from, incarnation, heartbeat);
+             });
   }
 }
 
@@ -323,25 +325,26 @@
     EntryProcess* process = &entries_[n];
     for (const DurationUs delay :
          FateOf(node, EntryName(static_cast<int>(n)), heartbeat).delays) {
-      Later(process, delay, [this, process, node, incarnation, heartbeat] {
+      RunAfter(process, delay, [this, process, node, incarnation, heartbeat] {
         process->core->OnHeartbeat(now_, node, incarnation, heartbeat);
       });
     }
   }
 }
 
-// The upstream is back at once after a crash, as another instance.
+// Reports a reachable upstream: after a crash it is back at once, as another
+// instance.
 void CoreDriver::AnswerReport(const NodeId& node) {
   SidecarProcess* process = &sidecars_.at(node);
   UpstreamReport report;
   report.reachable = true;
   report.instance = StrCat("instance-", upstream_crashes_[node]);
-  Later(process, 0, [this, process, asked_at = now_, report] {
-    process->core->OnUpstreamReport(now_, asked_at, report);
+  RunAfter(process, 0, [this, process, requested_at = now_, report] {
+    process->core->OnUpstreamReport(now_, requested_at, report);
   });
 }
 
-void CoreDriver::Heartbeats() {
+void CoreDriver::SendHeartbeats() {
   for (auto& [node, unused] : sidecars_) {
     for (std::size_t n = 0; n < entries_.size(); ++n) {
       EntryHeartbeat(static_cast<int>(n), node);
@@ -349,10 +352,10 @@
     SidecarHeartbeat(node);
     AnswerReport(node);
   }
-  At(now_ + kHeartbeatPeriod, [this] { Heartbeats(); });
+  At(now_ + kHeartbeatPeriod, [this] { SendHeartbeats(); });
 }
 
-void CoreDriver::Ticks() {
+void CoreDriver::RunTicks() {
   for (auto& it : entries_) {
     if (it.alive && !it.paused && it.core->NextWakeup() <= now_) {
       it.core->OnTick(now_);
@@ -363,7 +366,7 @@
       it.core->OnTick(now_);
     }
   }
-  At(now_ + kTickPeriod, [this] { Ticks(); });
+  At(now_ + kTickPeriod, [this] { RunTicks(); });
 }
 
 CallerHandle CoreDriver::Ask(int n, CallerRequest request) {
@@ -405,10 +408,10 @@
 
 void CoreDriver::KillEntry(int n) {
   entries_[n].alive = false;
-  entries_[n].held.clear();
+  entries_[n].deferred.clear();
   for (auto& [unused, sidecar] : sidecars_) {
     if (sidecar.alive) {
-      Later(&sidecar, options_.one_way, [this, n, it = &sidecar] {
+      RunAfter(&sidecar, options_.one_way, [this, n, it = &sidecar] {
         it->core->OnPeerLost(now_, EntryName(n));
       });
     }
@@ -417,10 +420,10 @@
 
 void CoreDriver::StartEntry(int n) {
   EntryProcess& it = entries_[n];
-  ++it.life;
+  ++it.start_count;
   it.alive = true;
   it.paused = false;
-  it.held.clear();
+  it.deferred.clear();
   it.output = std::make_unique<EntryPort>(this, n);
   it.random = std::make_unique<Random>(random_.Next());
   it.metrics = std::make_unique<Metrics>();
@@ -437,7 +440,7 @@
   EntryProcess& it = entries_[n];
   it.paused = paused;
   if (!paused) {
-    for (const auto& task : std::exchange(it.held, {})) {
+    for (const auto& task : std::exchange(it.deferred, {})) {
       task();
     }
   }
@@ -446,11 +449,11 @@
 void CoreDriver::KillSidecar(const NodeId& node) {
   SidecarProcess& it = sidecars_.at(node);
   it.alive = false;
-  it.held.clear();
+  it.deferred.clear();
   it.running.clear();
   for (auto& entry : entries_) {
     if (entry.alive) {
-      Later(&entry, options_.one_way, [this, node, process = &entry] {
+      RunAfter(&entry, options_.one_way, [this, node, process = &entry] {
         process->core->OnPeerLost(now_, node);
       });
     }
@@ -459,10 +462,10 @@
 
 void CoreDriver::StartSidecar(const NodeId& node) {
   SidecarProcess& it = sidecars_[node];
-  ++it.life;
+  ++it.start_count;
   it.alive = true;
   it.paused = false;
-  it.held.clear();
+  it.deferred.clear();
   it.incarnation = random_.Next() | 1;
   it.output = std::make_unique<SidecarPort>(this, node);
   it.metrics = std::make_unique<Metrics>();
@@ -478,7 +481,7 @@
   SidecarProcess& it = sidecars_.at(node);
   it.paused = paused;
   if (!paused) {
-    for (const auto& task : std::exchange(it.held, {})) {
+    for (const auto& task : std::exchange(it.deferred, {})) {
       task();
     }
   }
@@ -503,13 +506,13 @@
 }
 
 std::vector<DriverAnswer> CoreDriver::AnswersTo(CallerHandle handle) const {
-  std::vector<DriverAnswer> out;
+  std::vector<DriverAnswer> matching;
   for (const auto& it : answers_) {
     if (it.handle == handle) {
-      out.push_back(it);
+      matching.push_back(it);
     }
   }
-  return out;
+  return matching;
 }
 
 int CoreDriver::RunsOf(const std::string& body) const {
--- a/tests/core_driver.h
+++ b/tests/core_driver.h
@@ -1,7 +1,7 @@
 // Runs real `Entry` and `Sidecar` cores in virtual time without sockets, so
-// that a failure is a short test: messages late, twice, out of order or never,
-// processes killed, restarted or paused, a store that loses answers. Counts of
-// runs are kept at the upstream's side.
+// that a failure is a short test: messages are late, duplicated, out of order
+// or lost, processes are killed, restarted or paused, and the store loses
+// answers. Runs are counted at the upstreams.
 #ifndef ACACIACHUTE_TESTS_CORE_DRIVER_H_
 #define ACACIACHUTE_TESTS_CORE_DRIVER_H_
 
@@ -21,7 +21,7 @@
 
 namespace acaciachute {
 
-// A pool with its replicas; nodes are named "<name>-1" and so on.
+// A pool with its replicas; its nodes are named "<name>-1" and so on.
 struct DriverPool {
   std::string name;
   StageKind kind = StageKind::kService;
@@ -32,15 +32,17 @@
   std::uint64_t seed = 1;
   int entries = 1;
   std::vector<DriverPool> pools = {{"orders"}};
-  DurationUs one_way = 1500;  // Between any two nodes, as at Brookvale.
-  DurationUs store_time = 3 * kMillisecond;  // There and back.
+  // One-way network delay between any two nodes, as at Brookvale.
+  DurationUs one_way = 1500;
+  DurationUs store_time = 3 * kMillisecond;  // Round-trip time of a store call.
   DurationUs service = 5 * kMillisecond;
-  DurationUs late_landing = 300 * kMillisecond;  // Of `kLandLate`.
+  // Delay of the write's effect for `kLandLate`.
+  DurationUs late_landing = 300 * kMillisecond;
   std::uint32_t sidecar_limit = 4;
-  ClaimKeeperFactory make_claims;  // None: the real one.
+  ClaimKeeperFactory make_claims;  // Null: the production claim keeper.
 };
 
-// One run at an upstream.
+// One run of a call at an upstream.
 struct UpstreamRun {
   NodeId node;
   StageKey key;
@@ -56,14 +58,14 @@
   CallerAnswer answer;
 };
 
-// What happens to one message or store call. Each element of `delays` delivers
-// a copy after that time; none loses it.
+// Fault of one message or store call. Each element of `delays` delivers a copy
+// after that time; an empty list loses the message.
 struct Fate {
   std::vector<DurationUs> delays;
 };
 
-// `kLandLate` takes effect long after its sender was left without an answer;
-// `kAnswerTwice` repeats the answer.
+// Fault of one store call. `kLandLate` applies the write long after its sender
+// received no answer; `kAnswerTwice` repeats the answer.
 enum class StoreFault {
   kNone,
   kDown,
@@ -91,24 +93,25 @@
     return *sidecars_.at(node).metrics;
   }
 
-  // The caller hangs up.
+  // Closes the caller's connection to entry `n`.
   void HangUp(int n, CallerHandle handle);
   // Sends a request to entry `n` and returns its handle.
   CallerHandle Ask(int n, CallerRequest request);
-  // A request of event "round" by account "office".
+  // Makes a request of event "round" by account "office".
   static CallerRequest MakeRequest(const std::string& body);
   static CallerRequest MakeOnce(const std::string& key,
                                 const std::string& body);
 
-  // A killed process loses its state and everything on its way to it; callers
-  // of a killed entry receive nothing. A paused one handles everything late.
+  // A killed process loses its state and all messages to it, and callers of a
+  // killed entry receive no answer. A paused process handles all input when it
+  // resumes.
   void KillEntry(int n);
   void StartEntry(int n);
   void PauseEntry(int n, bool paused);
   void KillSidecar(const NodeId& node);
   void StartSidecar(const NodeId& node);
   void PauseSidecar(const NodeId& node, bool paused);
-  // The upstream dies with its runs in progress and is back at once.
+  // The upstream crashes with its runs in progress and is back at once.
   void CrashUpstream(const NodeId& node);
 
   void SetSettings(SettingsPtr settings);
@@ -117,21 +120,22 @@
   const std::vector<DriverAnswer>& answers() const { return answers_; }
   std::vector<DriverAnswer> AnswersTo(CallerHandle handle) const;
   const std::vector<UpstreamRun>& runs() const { return runs_; }
-  int RunsOf(const std::string& body) const;  // Bodies that contain `body`.
+  // Number of runs whose body contains `body`.
+  int RunsOf(const std::string& body) const;
   int UpstreamCrashes() const;
   std::map<std::string, StoreRow>& rows() { return rows_; }
   std::string StreamOf(CallerHandle handle) const;
 
-  // Hooks; each may be replaced at any time.
+  // Hooks for faults and upstream behaviour; each may be replaced at any time.
   std::function<Fate(const NodeId& from, const NodeId& to, const Message&)>
       network;
   std::function<StoreFault(const std::vector<StoreOp>&)> store_fault;
   std::function<DurationUs(const NodeId& node, const StageCall&)> service_time;
-  // Answers of the upstream; by default {"by":node,"input":body}.
+  // Returns the answer of the upstream; by default {"by":node,"input":body}.
   std::function<std::string(const NodeId& node, const StageCall&)> upstream;
-  // Whether a run ends its upstream, a millisecond after it started.
+  // Whether a run crashes its upstream, a millisecond after it started.
   std::function<bool(const NodeId& node, const StageCall&)> crashes;
-  // Parts of a streamed answer.
+  // Number of parts of a streamed answer.
   int stream_parts = 3;
 
  private:
@@ -143,20 +147,20 @@
     std::unique_ptr<Metrics> metrics;
     std::unique_ptr<Entry> core;
     Incarnation incarnation = 0;
-    std::uint64_t life = 0;  // Grows with each start.
+    std::uint64_t start_count = 0;  // Incremented with each start.
     bool alive = false;
     bool paused = false;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> deferred;
   };
   struct SidecarProcess {
     std::unique_ptr<SidecarOutput> output;
     std::unique_ptr<Metrics> metrics;
     std::unique_ptr<Sidecar> core;
     Incarnation incarnation = 0;
-    std::uint64_t life = 0;
+    std::uint64_t start_count = 0;
     bool alive = false;
     bool paused = false;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> deferred;
     std::map<UpstreamCallId, StageCall> running;
   };
   struct EntryPort;
@@ -167,7 +171,7 @@
   template <typename Process>
   void Deliver(Process* process, std::function<void()> task);
   template <typename Process>
-  void Later(Process* process, DurationUs delay, std::function<void()> task);
+  void RunAfter(Process* process, DurationUs delay, std::function<void()> task);
   Fate FateOf(const NodeId& from, const NodeId& to, const Message& message);
   void EntryToSidecar(int n, const NodeId& to, const Message& message);
   void SidecarToEntry(const NodeId& from, const NodeId& to, const Message& m);
@@ -179,8 +183,8 @@
   void EntryHeartbeat(int n, const NodeId& to);
   void SidecarHeartbeat(const NodeId& node);
   void AnswerReport(const NodeId& node);
-  void Heartbeats();
-  void Ticks();
+  void SendHeartbeats();
+  void RunTicks();
 
   const DriverOptions options_;
   TimeUs now_ = kSecond;
--- a/tests/core_path_test.cc
+++ b/tests/core_path_test.cc
@@ -1,5 +1,5 @@
-// The cores together, without sockets: a request's way through, and the
-// failures that need no more than a few lines.
+// Tests of entry and sidecar cores together, without sockets: the path of a
+// request, and failures that take only a few lines.
 #include <gtest/gtest.h>
 
 #include "tests/core_driver.h"
@@ -24,10 +24,10 @@
   EXPECT_EQ(driver.RunsOf("\"a\""), 2);
 }
 
-// The caller sends a notice once. The store loses the answer to the claim after
-// the write took effect; the entry writes the claim again under its nonce,
-// finds its own row and runs the notice. Without the nonce it would take its
-// own claim for another's and answer "may have run" though nothing ran.
+// The store loses the answer to a claim after the write took effect. The entry
+// writes the claim again under its nonce, finds its own row and runs the
+// request. Without the nonce it would take its own claim for another's and
+// answer "may have run" though nothing ran.
 TEST(CorePathTest, LostAnswerToClaimIsSettledByNonce) {
   CoreDriver driver({});
   int lost = 0;
@@ -41,9 +41,10 @@
   EXPECT_EQ(driver.RunsOf("\"b\""), 1);
 }
 
-// The caller resends an order to an entry that leaves and refuses it unread.
-// The first copy may have run elsewhere, so the refusal says that it speaks of
-// this copy and that only the same key is safe.
+// The caller resends an order to an entry that leaves and refuses it before
+// reading its row. The first copy may have run elsewhere, so the refusal says
+// that it is about this copy only and that a retry is safe only under the same
+// key.
 TEST(CorePathTest, RefusedCopyOfAnOrderSaysThatItSpeaksForItself) {
   CoreDriver driver({});
   driver.entry(0).Leave();
@@ -71,8 +72,8 @@
   EXPECT_EQ(driver.RunsOf("\"c\""), 1);
 }
 
-// The sidecar is killed with an order in progress. The caller is told at once
-// that it may have run; sent to another replica it would run twice.
+// The sidecar is killed with an order in progress. The caller is answered at
+// once that it may have run; sent to another replica it would run twice.
 TEST(CorePathTest, KilledSidecarMayHaveRun) {
   DriverOptions options;
   options.pools = {{"orders", StageKind::kService, 2}};
--- a/tests/currency_test.cc
+++ b/tests/currency_test.cc
@@ -1,4 +1,5 @@
-// What callers receive from an entry that cannot show that it is current.
+// Tests the answers of an entry that cannot prove that its settings are in
+// force.
 #include "coordination/settings/currency.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 namespace acaciachute {
 namespace {
 
-class FixedCurrency : public Currency {
+class FixedSettingsFreshness : public Currency {
  public:
   bool IsCurrent(TimeUs now) const override { return now >= current_from; }
   TimeUs current_from = 0;
@@ -32,19 +33,20 @@
   int store_calls = 0;
 };
 
-// The entry is not current when a request arrives. The caller is told at once
-// that it was not run and when to come back; no claim is written, because the
-// account or the event may have changed. Once current, the entry takes it.
+// The entry's settings are not known to be current when a request arrives. The
+// caller is answered at once that the request was not run and when to retry; no
+// claim is written, because the account or the event may have changed. Once the
+// settings are current, the entry accepts the request.
 TEST(CurrencyTest, RequestIsRefusedUntilTheEntryIsCurrent) {
-  FixedCurrency currency;
-  currency.current_from = 10 * kSecond;
+  FixedSettingsFreshness freshness;
+  freshness.current_from = 10 * kSecond;
   RecordingOutput output;
   Random random(1);
   Metrics metrics;
   EntryOptions options;
   options.node = "entry-1";
   options.incarnation = 1;
-  options.currency = &currency;
+  options.freshness = &freshness;
   Entry entry(options, &output, &random, &metrics);
   auto branch = ParseBranch("b", 1, R"({"owner":"o",
       "pools":{"p":{"kind":"service"}},
--- a/tests/differential_test.cc
+++ b/tests/differential_test.cc
@@ -1,5 +1,5 @@
-// The real core and a naive version on the same generated schedules, judged by
-// what callers receive and by runs at the upstreams' side.
+// Compares the production cores with a naive version on the same generated
+// schedules, by the answers that callers receive and the runs at the upstreams.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -23,7 +23,7 @@
 constexpr int kSchedules = 2000;
 constexpr DurationUs kDeadline = 800 * kMillisecond;
 constexpr DurationUs kOneWay = 1500;
-// What happens in a schedule; each step takes 20 ms.
+// Duration of each step of a schedule.
 constexpr DurationUs kStepTime = 20 * kMillisecond;
 
 enum class Action {
@@ -46,7 +46,8 @@
 
 struct Schedule {
   std::vector<Step> steps;
-  std::vector<int> network;  // What the next messages meet, in turn.
+  // Faults of the next messages, in order; reused cyclically.
+  std::vector<int> network;
   std::vector<int> store;
 };
 
@@ -70,7 +71,7 @@
       .value();
 }
 
-// Of ten messages about one is lost, one doubled and one late.
+// About one in ten messages is lost, one duplicated and one late.
 Fate FateOf(int n) {
   switch (n) {
     case 1:
@@ -91,25 +92,27 @@
   return n < 4 ? kFaults[n] : StoreFault::kNone;
 }
 
-// One copy that a caller sent.
+// One copy of a request that a caller sent.
 struct Copy {
   CallerHandle handle = 0;
   int entry = 0;
   int marker = 0;
   bool once = false;
   bool stream = false;
-  bool entry_failed = false;  // It died or was paused with the copy in hand.
+  // The entry stopped or was paused before it answered the copy.
+  bool entry_failed = false;
 };
 
-// Counts of what must not happen, and of answers.
-struct Judgement {
-  int doubled = 0;       // Once-only requests that ran twice in a stage.
-  int misdelivered = 0;  // Answers other than the caller's own whole one.
-  int lost = 0;          // Callers of a healthy entry without any answer.
+// Counts of violations, and of answers.
+struct Violations {
+  int doubled = 0;  // Non-idempotent requests that ran twice in a stage.
+  // Answers that are not the caller's own or not complete.
+  int misdelivered = 0;
+  int lost = 0;  // Callers of a healthy entry that received no answer.
   int false_not_run = 0;
   int answered = 0;
 
-  void Add(const Judgement& it) {
+  void Add(const Violations& it) {
     doubled += it.doubled;
     misdelivered += it.misdelivered;
     lost += it.lost;
@@ -119,7 +122,7 @@
   int Faults() const { return doubled + misdelivered + lost + false_not_run; }
 };
 
-std::ostream& operator<<(std::ostream& out, const Judgement& it) {
+std::ostream& operator<<(std::ostream& out, const Violations& it) {
   return out << "doubled " << it.doubled << ", misdelivered " << it.misdelivered
              << ", lost " << it.lost << ", false not_run " << it.false_not_run
              << ", answered " << it.answered;
@@ -129,11 +132,11 @@
   return StrCat(R"({"order":"m)", marker, R"(e"})");
 }
 
-// Plays a schedule through either system.
+// Runs a schedule on either system.
 template <typename System>
-class Play {
+class ScheduleRun {
  public:
-  explicit Play(const Schedule& schedule)
+  explicit ScheduleRun(const Schedule& schedule)
       : schedule_(schedule), system_(Options()) {
     system_.network = [this](const NodeId&, const NodeId&, const Message& it) {
       if (std::holds_alternative<Heartbeat>(it) || schedule_.network.empty()) {
@@ -153,13 +156,13 @@
     };
   }
 
-  Judgement Judge() {
+  Violations CountViolations() {
     for (const Step& step : schedule_.steps) {
-      Take(step);
+      RunStep(step);
       system_.Run(kStepTime);
     }
     system_.Run(kDeadline + kSecond);
-    Judgement out;
+    Violations out;
     out.doubled = Doubled();
     std::map<CallerHandle, std::vector<CallerAnswer>> answers;
     for (const auto& it : system_.answers()) {
@@ -167,14 +170,15 @@
     }
     std::map<int, bool> all_not_run;
     for (const Copy& copy : copies_) {
-      JudgeCopy(copy, answers[copy.handle], &out);
-      const auto& got = answers[copy.handle];
-      const bool not_run = !got.empty() && got[0].verdict == Verdict::kNotRun;
+      CheckCopy(copy, answers[copy.handle], &out);
+      const auto& received = answers[copy.handle];
+      const bool not_run =
+          !received.empty() && received[0].verdict == Verdict::kNotRun;
       const auto it = all_not_run.emplace(copy.marker, true).first;
       it->second = it->second && not_run;
     }
-    for (const auto& [marker, told] : all_not_run) {
-      out.false_not_run += told && !RunsOf(marker).empty() ? 1 : 0;
+    for (const auto& [marker, not_run] : all_not_run) {
+      out.false_not_run += not_run && !RunsOf(marker).empty() ? 1 : 0;
     }
     return out;
   }
@@ -211,10 +215,10 @@
     }
   }
 
-  void Take(const Step& step) {
+  void RunStep(const Step& step) {
     const int entry = step.target % kEntries;
     const NodeId sidecar = Sidecar(step.target);
-    const TimeUs back = system_.now() + 5 * kStepTime;
+    const TimeUs resume_at = system_.now() + 5 * kStepTime;
     switch (step.action) {
       case Action::kAsk:
       case Action::kAskOnce:
@@ -242,14 +246,14 @@
       case Action::kPauseEntry:
         FailEntry(entry);
         system_.PauseEntry(entry, true);
-        system_.At(back, [this, entry] {
+        system_.At(resume_at, [this, entry] {
           down_[entry] = false;
           system_.PauseEntry(entry, false);
         });
         break;
       case Action::kPauseSidecar:
         system_.PauseSidecar(sidecar, true);
-        system_.At(back,
+        system_.At(resume_at,
                    [this, sidecar] { system_.PauseSidecar(sidecar, false); });
         break;
       case Action::kCrashUpstream:
@@ -286,21 +290,21 @@
     return doubled;
   }
 
-  void JudgeCopy(const Copy& copy,
-                 const std::vector<CallerAnswer>& got,
-                 Judgement* out) const {
-    if (got.empty()) {
+  void CheckCopy(const Copy& copy,
+                 const std::vector<CallerAnswer>& received,
+                 Violations* out) const {
+    if (received.empty()) {
       out->lost += copy.entry_failed ? 0 : 1;
       return;
     }
-    const std::string whole =
+    const std::string complete =
         copy.stream
             ? "part0;part1;part2;"
             : StrCat(R"({"orders":{"retrievers":)", Body(copy.marker), "}}");
-    if (got.size() > 1) {
+    if (received.size() > 1) {
       ++out->misdelivered;
-    } else if (got[0].verdict == Verdict::kAnswered) {
-      ++(got[0].body == whole ? out->answered : out->misdelivered);
+    } else if (received[0].verdict == Verdict::kAnswered) {
+      ++(received[0].body == complete ? out->answered : out->misdelivered);
     }
   }
 
@@ -314,22 +318,23 @@
 };
 
 template <typename System>
-Judgement Judge(const Schedule& schedule) {
-  return Play<System>(schedule).Judge();
+Violations CountViolations(const Schedule& schedule) {
+  return ScheduleRun<System>(schedule).CountViolations();
 }
 
-// Entries and sidecars die and pause, messages and table answers are lost, late
-// and doubled, callers resend. The naive version loses, doubles and misdelivers
-// on these schedules; on the very same ones the real core does none of it.
+// Entries and sidecars stop and pause, messages and answers of the table are
+// lost, late and duplicated, and callers resend. On these schedules the naive
+// version loses, duplicates and misdelivers; on the same ones the production
+// core does none of it.
 TEST(DifferentialTest, RealCoreHoldsWhereTheNaiveOneFails) {
-  Judgement real;
-  Judgement naive;
+  Violations real;
+  Violations naive;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
     const Schedule schedule = ScheduleOf(seed, kActions, 12);
-    const Judgement it = Judge<CoreDriver>(schedule);
+    const Violations it = CountViolations<CoreDriver>(schedule);
     EXPECT_EQ(it.Faults(), 0) << "seed " << seed << ": " << it;
     real.Add(it);
-    naive.Add(Judge<NaiveSystem>(schedule));
+    naive.Add(CountViolations<NaiveSystem>(schedule));
   }
   std::cout << "real: " << real << "\nnaive: " << naive << "\n";
   EXPECT_GT(naive.doubled, 0);
@@ -338,14 +343,14 @@
   EXPECT_GT(real.answered, 0);
 }
 
-// Without faults both give every caller the same whole answer.
+// Without faults both systems give every caller the same complete answer.
 TEST(DifferentialTest, BothAgreeWithoutFaults) {
   constexpr int kOnlyAsks = 3;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
     const Schedule schedule = ScheduleOf(seed, kOnlyAsks, 1);
     const int asked = static_cast<int>(schedule.steps.size());
-    const Judgement real = Judge<CoreDriver>(schedule);
-    const Judgement naive = Judge<NaiveSystem>(schedule);
+    const Violations real = CountViolations<CoreDriver>(schedule);
+    const Violations naive = CountViolations<NaiveSystem>(schedule);
     EXPECT_EQ(real.Faults() + naive.Faults(), 0) << "seed " << seed;
     EXPECT_EQ(real.answered, asked) << "seed " << seed << ": " << real;
     EXPECT_EQ(naive.answered, asked) << "seed " << seed << ": " << naive;
--- a/tests/fake_table.h
+++ b/tests/fake_table.h
@@ -1,4 +1,4 @@
-// The platform's table in memory, with the faults that decisions must survive.
+// In-memory version of the platform's table, with faults for tests.
 #ifndef ACACIACHUTE_TESTS_FAKE_TABLE_H_
 #define ACACIACHUTE_TESTS_FAKE_TABLE_H_
 
@@ -12,8 +12,9 @@
 
 class FakeTable {
  public:
-  bool down = false;     // Refuses before any effect.
-  int lose_answers = 0;  // Of writes, after their effect.
+  bool down = false;  // Refuses all calls before any effect.
+  // Number of writes whose answers are lost after their effect.
+  int lose_answers = 0;
 
   StoreAnswer Transact(const std::vector<StoreOp>& ops) {
     if (down) {
--- a/tests/lease_test.cc
+++ b/tests/lease_test.cc
@@ -1,4 +1,5 @@
-// One holder at a time, and no old holder's order passes after its successor's.
+// Tests that at most one entry holds the lease, and that no order of an old
+// holder is accepted after its successor's.
 #include "coordination/control/lease.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 namespace acaciachute {
 namespace {
 
-// Entries that compete for one pool, and a sidecar that checks numbers.
+// Entries that compete for the lease of one pool.
 class LeaseNet {
  public:
   static constexpr DurationUs kStep = 50 * kMillisecond;
@@ -28,9 +29,9 @@
 
   void Start(int n) {
     Node& node = nodes_[n];
-    ++node.life;
+    ++node.start_count;
     node.paused = false;
-    node.held.clear();
+    node.deferred.clear();
     node.output = std::make_unique<Port>(this, n);
     node.random = std::make_unique<Random>(random_.Next());
     node.lease =
@@ -39,20 +40,20 @@
     node.lease->SetRank(n);
   }
   void Kill(int n) {
-    ++nodes_[n].life;
+    ++nodes_[n].start_count;
     nodes_[n].lease.reset();
   }
   void Pause(int n, bool paused) {
     nodes_[n].paused = paused;
-    const auto held = std::move(nodes_[n].held);
-    nodes_[n].held.clear();
-    for (const auto& it : held) {
+    const auto deferred = std::move(nodes_[n].deferred);
+    nodes_[n].deferred.clear();
+    for (const auto& it : deferred) {
       it();
     }
   }
   bool Alive(int n) const { return nodes_[n].lease != nullptr; }
   bool Holds(int n) const { return Alive(n) && nodes_[n].lease->Holds(now); }
-  // What runs at a paused node counts as well: it may wake at any time.
+  // Paused nodes count too: they may resume at any time.
   int Holders() const {
     int holders = 0;
     for (std::size_t n = 0; n < nodes_.size(); ++n) {
@@ -100,28 +101,29 @@
     std::unique_ptr<Port> output;
     std::unique_ptr<Random> random;
     std::unique_ptr<Lease> lease;
-    std::uint64_t life = 0;
+    std::uint64_t start_count = 0;
     bool paused = false;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> deferred;
   };
 
   void Call(int n, StoreTicket ticket, std::vector<StoreOp> ops) {
-    const std::uint64_t life = nodes_[n].life;
-    tasks_.emplace(now + kStep, [this, n, life, ticket, ops = std::move(ops)] {
-      const StoreAnswer answer = table.Transact(ops);
-      const auto deliver = [this, n, life, ticket, answer] {
-        if (nodes_[n].life == life) {
-          nodes_[n].lease->OnTableAnswer(now, ticket, answer);
-        }
-      };
-      tasks_.emplace(now + kStep, [this, n, deliver] {
-        if (nodes_[n].paused) {
-          nodes_[n].held.emplace_back(deliver);
-        } else {
-          deliver();
-        }
-      });
-    });
+    const std::uint64_t start_count = nodes_[n].start_count;
+    tasks_.emplace(
+        now + kStep, [this, n, start_count, ticket, ops = std::move(ops)] {
+          const StoreAnswer answer = table.Transact(ops);
+          const auto deliver = [this, n, start_count, ticket, answer] {
+            if (nodes_[n].start_count == start_count) {
+              nodes_[n].lease->OnTableAnswer(now, ticket, answer);
+            }
+          };
+          tasks_.emplace(now + kStep, [this, n, deliver] {
+            if (nodes_[n].paused) {
+              nodes_[n].deferred.emplace_back(deliver);
+            } else {
+              deliver();
+            }
+          });
+        });
   }
 
   Random random_;
@@ -129,10 +131,11 @@
   std::multimap<TimeUs, std::function<void()>> tasks_;
 };
 
-// Term, the candidate's watch, its place's pause and two calls.
-constexpr DurationUs kTakeOver = Lease::kLeaseDuration +
-                                 2 * Lease::kWatchPeriod +
-                                 3 * Lease::kRankDelay + kSecond;
+// Maximum time of a takeover: the lease, the watch of a candidate, the delay of
+// its rank and two calls.
+constexpr DurationUs kTakeOverTime = Lease::kLeaseDuration +
+                                     2 * Lease::kWatchPeriod +
+                                     3 * Lease::kRankDelay + kSecond;
 
 TEST(LeaseTest, OneHolderRenewsForAnHour) {
   LeaseNet net(3, 1);
@@ -143,21 +146,21 @@
   EXPECT_EQ(net.lease(0).fence(), 1U);
 }
 
-// The holder dies without a word. Its successor holds a larger number after
-// the term; nobody holds in between.
+// The holder stops without a release. Its successor holds a larger number after
+// the lease has expired; nobody holds it in between.
 TEST(LeaseTest, SuccessorTakesOverAfterTheTerm) {
   LeaseNet net(3, 2);
   net.Run(2 * kSecond);
   ASSERT_TRUE(net.Holds(0));
   net.Kill(0);
-  net.Run(kTakeOver);
+  net.Run(kTakeOverTime);
   EXPECT_EQ(net.Holders(), 1);
   EXPECT_EQ(std::max(net.lease(1).fence(), net.lease(2).fence()), 2U);
 }
 
-// The holder is paused past its lease and wakes. By its own clock its time is
-// over before the successor's began, so it gives no order; its renewal finds
-// the other's row, and it watches like the rest.
+// The holder is suspended beyond its lease and resumes. By its own clock its
+// lease ended before the successor's began, so it sends no order; its renewal
+// finds the other's row, and it becomes a candidate again.
 TEST(LeaseTest, PausedHolderWakesWithoutTheLease) {
   LeaseNet net(2, 3);
   net.Run(2 * kSecond);
@@ -173,9 +176,10 @@
   EXPECT_EQ(net.lease(1).fence(), 2U);
 }
 
-// The holder is paused between a renewal and its answer, and wakes shortly
-// before the row has stood for a term. The answer says "held", but of a moment
-// nine seconds ago: counted from its arrival, two would hold.
+// The holder is suspended between a renewal and its answer, and resumes shortly
+// before the row has been unchanged for a lease duration. The answer confirms
+// the lease, but from a write nine seconds ago: counted from its arrival, two
+// entries would hold it.
 TEST(LeaseTest, AnswerReadLateProvesNoMoreThanInTime) {
   for (int offset = 0; offset < 60; ++offset) {
     LeaseNet net(2, 7);
@@ -184,13 +188,13 @@
     net.on_step = [&] { EXPECT_LE(net.Holders(), 1); };
     net.Pause(0, true);
     net.Run(Lease::kLeaseDuration - Lease::kClockDriftMargin);
-    net.Pause(0, false);  // Reads its answers and is paused again.
+    net.Pause(0, false);  // Handles its answers and is suspended again.
     net.Pause(0, true);
-    net.Run(kTakeOver);
+    net.Run(kTakeOverTime);
   }
 }
 
-// Every second answer to a write is lost after its effect, for ten minutes. The
+// For ten minutes, every second answer to a write is lost after its effect. The
 // holder finds its own nonce in the row and stays the holder.
 TEST(LeaseTest, LostAnswersDoNotLoseTheLease) {
   LeaseNet net(2, 4);
@@ -204,8 +208,9 @@
   EXPECT_EQ(std::max(net.lease(0).fence(), net.lease(1).fence()), 1U);
 }
 
-// The table is down for a minute: the holder stops acting at its bound, and
-// goes on under its number when the table is back, because nobody took it.
+// The table is down for a minute: the holder stops acting at the end of its
+// lease, and continues under its number when the table is back, because no
+// other entry acquired the lease.
 TEST(LeaseTest, OutageSuspendsControl) {
   LeaseNet net(2, 5);
   net.Run(2 * kSecond);
@@ -215,7 +220,7 @@
   net.Run(50 * kSecond);
   net.on_step = [&] { EXPECT_LE(net.Holders(), 1); };
   net.table.down = false;
-  net.Run(kTakeOver);
+  net.Run(kTakeOverTime);
   EXPECT_EQ(net.Holders(), 1);
 }
 
@@ -231,9 +236,9 @@
   EXPECT_EQ(net.lease(1).fence(), 2U);
 }
 
-// Whatever is killed, paused, cut or lost, in whatever order: two never hold at
-// once, and a holder's number is never below an earlier holder's, so a sidecar
-// that refuses smaller numbers passes no old order.
+// Whatever is killed, paused, disconnected or lost, in any order: there are
+// never two holders, and a holder's number is never below an earlier holder's,
+// so a sidecar that refuses smaller numbers accepts no outdated order.
 TEST(LeaseProperty, OneHolderAndNumbersGrow) {
   constexpr int kNodes = 3;
   CheckProperty("one holder, numbers grow", 4202612, 100, [] {
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -1,4 +1,5 @@
-// An upstream that is leaving receives no new work, whichever route tells.
+// Tests that an upstream that is leaving receives no new work, whichever route
+// reports it.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -9,15 +10,16 @@
 namespace acaciachute {
 namespace {
 
-// Entries send a call every 10 ms and believe that the upstream is well. At
-// `told` one route says that it leaves; the others go on saying that it does
-// not. Returns how many calls started more than `bound` after that.
-int StartsAfterBound(const std::function<void(SidecarRig&)>& tell,
+// Entries send a call every 10 ms, as if the upstream were ready. From 3 s on,
+// `report` signals by one route that it leaves; the other routes continue to
+// report that it does not. Returns how many calls started more than `bound`
+// after that.
+int StartsAfterBound(const std::function<void(SidecarRig&)>& report,
                      DurationUs bound,
                      bool upstream_reports = true) {
   SidecarRig rig(/*limit=*/4);
-  const TimeUs told = rig.now + 3 * kSecond;
-  bool is_told = false;
+  const TimeUs reported_at = rig.now + 3 * kSecond;
+  bool is_reported = false;
   int late = 0;
   for (std::uint64_t n = 1; n < 1000; ++n) {
     rig.Pass(10 * kMillisecond);
@@ -28,16 +30,16 @@
       rig.EntrySays(false);
       rig.core.OnHostList(rig.now, false);
     }
-    if (rig.now >= told && !is_told) {
-      is_told = true;
+    if (rig.now >= reported_at && !is_reported) {
+      is_reported = true;
     }
-    if (is_told) {
-      tell(rig);
+    if (is_reported) {
+      report(rig);
     }
     const std::size_t before = rig.started.size();
     rig.Deliver(rig.Call(n));
     const auto started = rig.started.size() - before;
-    late += rig.now > told + bound ? static_cast<int>(started) : 0;
+    late += rig.now > reported_at + bound ? static_cast<int>(started) : 0;
     if (started > 0) {
       rig.Answer(before);
     }
@@ -75,8 +77,8 @@
       StartsAfterBound([](SidecarRig& rig) { rig.core.Leave(rig.now); }, 0), 0);
 }
 
-// No route tells at all: the upstream's host is taken away and its reports
-// stop. The stated bound is the age of the last one.
+// No route reports that the upstream leaves: its host is removed and its status
+// reports stop. Calls then start only up to the maximum age of the last report.
 TEST(LeavingTest, SilenceAlone) {
   SidecarRig rig(/*limit=*/4);
   rig.Report();
@@ -93,17 +95,18 @@
   EXPECT_EQ(rig.started.size(), 199);
 }
 
-// A report that took a second to arrive is as old as its question, so a slow
-// answer does not stretch the bound.
+// The age of a report that took a second to arrive counts from its request, so
+// a slow answer does not extend the limit.
 TEST(LeavingTest, ReportCountsFromItsQuestion) {
   Leaving leaving;
-  leaving.OnReport(/*asked_at=*/kSecond, /*reachable=*/true);
+  leaving.OnReport(/*requested_at=*/kSecond, /*reachable=*/true);
   EXPECT_TRUE(leaving.IsReachable(3 * kSecond - 1));
   EXPECT_FALSE(leaving.IsReachable(3 * kSecond));
 }
 
-// One entry has heard and another has not. The one that has not must not take
-// the word back five times a second; it ages when nobody repeats it.
+// One entry knows that the upstream leaves and another does not. The reports of
+// the other, five times a second, must not revoke that of the first; it expires
+// when it is not repeated.
 TEST(LeavingTest, EntriesDoNotOutvoteOneThatHeard) {
   Leaving leaving;
   leaving.OnLeaveReport(kSecond, LeaveRoute::kEntry, true);
@@ -112,9 +115,9 @@
   EXPECT_FALSE(leaving.IsLeaving(kSecond + Leaving::kMaxEntryReportAge));
 }
 
-// The sidecar wakes from a pause in which the upstream began to leave. A call
-// sent just now is handled before any report; the last report is too old to
-// go by, so the call is handed back.
+// The sidecar resumes from a suspension in which the upstream began to leave. A
+// call that was just sent is handled before any status report; the last report
+// is too old, so the call is refused.
 TEST(LeavingTest, WakingSidecarDoesNotGoByAnOldReport) {
   SidecarRig rig;
   rig.Report();
@@ -125,8 +128,8 @@
   EXPECT_EQ(rig.failures[0].verdict, Verdict::kNotRun);
 }
 
-// SIGTERM under load: what runs is finished and its answers are sent, what
-// waits goes back with "not run", and the process may then end.
+// SIGTERM under load: running calls are finished and their answers sent,
+// waiting calls are refused with "not run", and the process may then end.
 TEST(LeavingTest, ShutdownUnderLoadCutsNothing) {
   SidecarRig rig(/*limit=*/4);
   for (std::uint64_t n = 1; n <= 20; ++n) {
--- a/tests/model/claims_model_test.cc
+++ b/tests/model/claims_model_test.cc
@@ -1,6 +1,6 @@
-// Every interleaving of two entries, one table and one upstream pool around one
-// key, with a bounded number of faults. The entries are the real ones; only the
-// table, the sidecars and the clocks are the model's.
+// Model check of claims: every interleaving of two entries, one table and one
+// upstream pool around one key, with a bounded number of faults. The entries
+// are the production ones; the table, the sidecars and the clocks are modelled.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,23 +22,24 @@
 namespace acaciachute {
 namespace {
 
-// Safeguards that a mutation takes away, at the entry's border with the table.
+// Safeguards that a mutation disables, at the interface between entry and
+// table.
 enum class Mutation {
   kNone,
-  kClaimSkipped,     // The table takes every write.
-  kNonceUncompared,  // An entry takes every row for its own.
+  kClaimSkipped,     // The table accepts every write.
+  kNonceUncompared,  // An entry accepts every row as its own.
 };
 
 struct Bounds {
   int faults = 2;
-  int ticks = 1;  // Long waits of an entry that end.
-  int asks = 3;   // Copies of the request.
+  int ticks = 1;   // Number of long waits of an entry that end.
+  int copies = 3;  // Number of copies of the request.
   std::size_t max_states = 400'000;
 };
 
 constexpr int kEntries = 2;
 constexpr DurationUs kInputTime = kMillisecond;
-// A wait this short is an entry's own batching and not another state.
+// Maximum wait that counts as an entry's own batching and not as another state.
 constexpr DurationUs kShortWait = 50 * kMillisecond;
 constexpr char kKey[] = "k";
 
@@ -63,39 +64,40 @@
       }
       const bool ran = std::count(runs_.begin(), runs_.end(), handle) > 0;
       if (answers[0].verdict == Verdict::kNotRun && ran) {
-        return StrCat("copy ", handle, " told not_run, but ran");
+        return StrCat("copy ", handle, " answered not_run, but ran");
       }
       if (answers[0].verdict == Verdict::kAnswered &&
           (runs_.empty() || answers[0].body != BodyOf(runs_[0]))) {
-        return StrCat("copy ", handle, " got an answer of no run");
+        return StrCat("copy ", handle,
+                      " received an answer that belongs to no run");
       }
     }
     return "";
   }
 
-  // An entry's state follows from its inputs, so they stand for it. Times are
-  // the entry's own and follow from them too.
+  // An entry's state follows from its inputs, so the inputs represent it. Its
+  // times follow from them too.
   std::string Signature() const {
-    std::string out = StrCat(faults_, " ", ticks_, " ", asks_, ";");
+    std::string out = StrCat(faults_, " ", ticks_, " ", copies_, ";");
     for (const auto& it : hosts_) {
       out += StrCat(it.history, ";");
     }
     for (const auto& [key, row] : rows_) {
       out += StrCat(key, "=", row.version, row.value, ";");
     }
-    // What is on its way has no order.
-    std::vector<std::string> moving;
+    // Calls in flight are unordered.
+    std::vector<std::string> in_flight;
     for (const auto& it : store_calls_) {
-      moving.push_back(
-          StrCat(it.entry, ".", it.life, ".", it.ticket, it.late ? "L" : ""));
+      in_flight.push_back(StrCat(it.entry, ".", it.start_count, ".", it.ticket,
+                                 it.late ? "L" : ""));
     }
     for (const auto& it : calls_) {
       const StageKey& key = it.call.key;
-      moving.push_back(
-          StrCat(it.entry, ".", it.life, ":", NameOf(key), it.cut ? "C" : ""));
+      in_flight.push_back(StrCat(it.entry, ".", it.start_count, ":",
+                                 NameOf(key), it.disconnected ? "C" : ""));
     }
-    std::sort(moving.begin(), moving.end());
-    for (const auto& it : moving) {
+    std::sort(in_flight.begin(), in_flight.end());
+    for (const auto& it : in_flight) {
       out += it + ";";
     }
     for (const auto handle : runs_) {
@@ -109,7 +111,8 @@
     Port(ClaimsWorld* owner, int index) : world(owner), n(index) {}
     void Send(const NodeId& sidecar, const Message& message) override {
       if (const auto* call = std::get_if<StageCall>(&message)) {
-        world->calls_.push_back({n, world->hosts_[n].life, sidecar, *call});
+        world->calls_.push_back(
+            {n, world->hosts_[n].start_count, sidecar, *call});
       }
     }
     void Answer(CallerHandle handle, const CallerAnswer& answer) override {
@@ -126,7 +129,7 @@
         }
       }
       world->store_calls_.push_back(
-          {n, world->hosts_[n].life, ticket, std::move(ops)});
+          {n, world->hosts_[n].start_count, ticket, std::move(ops)});
     }
     void Export(const Span&) override {}
 
@@ -140,23 +143,25 @@
     std::unique_ptr<Metrics> metrics;
     std::unique_ptr<Entry> core;
     TimeUs now = kSecond;
-    int life = 0;
+    int start_count = 0;
     std::string history;
     std::optional<Claim> own_claim;
   };
   struct StoreCall {
     int entry;
-    int life;
+    int start_count;
     StoreTicket ticket;
     std::vector<StoreOp> ops;
-    bool late = false;  // Its sender was told nothing; it lands some day.
+    // The sender received no answer; the write may be applied later.
+    bool late = false;
   };
   struct Call {
     int entry;
-    int life;
+    int start_count;
     NodeId sidecar;
     StageCall call;
-    bool cut = false;  // Its connection broke with the call on its way.
+    // The connection was lost while the call was in flight.
+    bool disconnected = false;
   };
 
   static SettingsPtr MakeSettings() {
@@ -179,10 +184,10 @@
 
   void Start(int n) {
     Host& host = hosts_[n];
-    ++host.life;
-    host.history += StrCat("start", host.life, ",");
+    ++host.start_count;
+    host.history += StrCat("start", host.start_count, ",");
     host.own_claim.reset();
-    const auto seed = std::uint64_t{100} * n + host.life;
+    const auto seed = std::uint64_t{100} * n + host.start_count;
     host.port = std::make_unique<Port>(this, n);
     host.random = std::make_unique<Random>(seed);
     host.metrics = std::make_unique<Metrics>();
@@ -201,7 +206,7 @@
     }
   }
 
-  // Hands one input to entry `n` and lets its short waits pass.
+  // Passes one input to entry `n` and lets its short waits pass.
   void Input(int n,
              const std::string& name,
              const std::function<void(Host*)>& f) {
@@ -216,19 +221,19 @@
   }
 
   void Ask(int n) {
-    ++asks_;
-    const CallerHandle handle = asks_;
+    ++copies_;
+    const CallerHandle handle = copies_;
     Input(n, StrCat("ask", handle), [handle](Host* host) {
       CallerRequest request = CoreDriver::MakeOnce(kKey, "{}");
       request.handle = handle;
-      // Names the copy in what reaches the upstream.
+      // Identifies the copy at the upstream.
       request.traceparent =
           FormatTraceparent({1, static_cast<std::uint64_t>(handle), 1});
       host->core->OnRequest(host->now, request);
     });
   }
 
-  StoreAnswer Effect(const StoreCall& call) {
+  StoreAnswer ApplyStore(const StoreCall& call) {
     StoreAnswer answer;
     const bool all_hold = mutation_ == Mutation::kClaimSkipped;
     for (const auto& op : call.ops) {
@@ -266,17 +271,17 @@
     return answer;
   }
 
-  void TellStore(const StoreCall& call,
-                 const std::string& name,
-                 const StoreAnswer& answer) {
-    if (hosts_[call.entry].life != call.life) {
+  void DeliverStoreAnswer(const StoreCall& call,
+                          const std::string& name,
+                          const StoreAnswer& answer) {
+    if (hosts_[call.entry].start_count != call.start_count) {
       return;
     }
-    std::string seen = StrCat(name, call.ticket);
+    std::string input = StrCat(name, call.ticket);
     for (const auto& row : answer.rows) {
-      seen += StrCat("/", row.version, row.value);
+      input += StrCat("/", row.version, row.value);
     }
-    Input(call.entry, seen, [&](Host* host) {
+    Input(call.entry, input, [&](Host* host) {
       host->core->OnStoreAnswer(host->now, call.ticket, answer);
     });
   }
@@ -289,39 +294,43 @@
 
   void AddStoreSteps(std::size_t n, std::vector<Step>* steps) {
     const StoreCall& call = store_calls_[n];
-    const std::string name = StrCat("table call ", call.ticket, " of entry ",
-                                    call.entry, " life ", call.life, ": ");
+    const std::string name =
+        StrCat("table call ", call.ticket, " of entry ", call.entry, " start ",
+               call.start_count, ": ");
     if (call.late) {
-      steps->push_back(
-          {name + "lands late", [this, n] { Effect(TakeStoreCall(n)); }});
+      steps->push_back({name + "is applied late",
+                        [this, n] { ApplyStore(TakeStoreCall(n)); }});
       return;
     }
     steps->push_back({name + "answered", [this, n] {
                         const StoreCall it = TakeStoreCall(n);
-                        const StoreAnswer answer = Effect(it);
-                        TellStore(it, "ok", answer);
+                        const StoreAnswer answer = ApplyStore(it);
+                        DeliverStoreAnswer(it, "ok", answer);
                       }});
-    if (faults_ >= bounds_.faults || hosts_[call.entry].life != call.life) {
+    if (faults_ >= bounds_.faults ||
+        hosts_[call.entry].start_count != call.start_count) {
       return;
     }
-    steps->push_back({name + "takes effect, answer lost", [this, n] {
-                        ++faults_;
-                        const StoreCall it = TakeStoreCall(n);
-                        Effect(it);
-                        TellStore(it, "lost", {StoreStatus::kUnknown, {}});
-                      }});
-    steps->push_back({name + "no answer, may land later", [this, n] {
-                        ++faults_;
-                        StoreCall it = TakeStoreCall(n);
-                        it.late = true;
-                        store_calls_.push_back(it);
-                        TellStore(it, "lost", {StoreStatus::kUnknown, {}});
-                      }});
     steps->push_back(
-        {name + "refused", [this, n] {
+        {name + "takes effect, answer lost", [this, n] {
            ++faults_;
-           TellStore(TakeStoreCall(n), "down", {StoreStatus::kUnavailable, {}});
+           const StoreCall it = TakeStoreCall(n);
+           ApplyStore(it);
+           DeliverStoreAnswer(it, "lost", {StoreStatus::kUnknown, {}});
          }});
+    steps->push_back(
+        {name + "no answer, may be applied later", [this, n] {
+           ++faults_;
+           StoreCall it = TakeStoreCall(n);
+           it.late = true;
+           store_calls_.push_back(it);
+           DeliverStoreAnswer(it, "lost", {StoreStatus::kUnknown, {}});
+         }});
+    steps->push_back({name + "refused", [this, n] {
+                        ++faults_;
+                        DeliverStoreAnswer(TakeStoreCall(n), "down",
+                                           {StoreStatus::kUnavailable, {}});
+                      }});
   }
 
   Call TakeCall(std::size_t n) {
@@ -335,8 +344,9 @@
     runs_.push_back(trace ? trace->trace_low : 0);
   }
 
-  void TellSidecar(const Call& call, const Message& message) {
-    if (hosts_[call.entry].life == call.life && !call.cut) {
+  void DeliverSidecarMessage(const Call& call, const Message& message) {
+    if (hosts_[call.entry].start_count == call.start_count &&
+        !call.disconnected) {
       Input(call.entry, StrCat("m", message.index(), NameOf(call.call.key)),
             [&](Host* host) {
               host->core->OnMessage(host->now, call.sidecar, message);
@@ -348,7 +358,7 @@
     const Call& call = calls_[n];
     const std::string name =
         StrCat("call ", call.call.key.attempt, " of entry ", call.entry,
-               " life ", call.life, ": ");
+               " start ", call.start_count, ": ");
     steps->push_back({name + "runs", [this, n] {
                         const Call it = TakeCall(n);
                         Run(it);
@@ -357,9 +367,9 @@
                         chunk.sidecar = it.call.sidecar;
                         chunk.last = true;
                         chunk.body = BodyOf(runs_.back());
-                        TellSidecar(it, chunk);
+                        DeliverSidecarMessage(it, chunk);
                       }});
-    if (call.cut) {
+    if (call.disconnected) {
       steps->push_back({name + "never arrives", [this, n] { TakeCall(n); }});
       return;
     }
@@ -374,13 +384,13 @@
                         failure.sidecar = it.call.sidecar;
                         failure.verdict = Verdict::kNotRun;
                         failure.reason = Refusal::kFull;
-                        TellSidecar(it, failure);
+                        DeliverSidecarMessage(it, failure);
                       }});
-    if (hosts_[call.entry].life == call.life) {
+    if (hosts_[call.entry].start_count == call.start_count) {
       steps->push_back({name + "connection breaks", [this, n] {
                           ++faults_;
                           Call it = TakeCall(n);
-                          it.cut = true;
+                          it.disconnected = true;
                           calls_.push_back(it);
                           Input(it.entry, StrCat("cut", NameOf(it.call.key)),
                                 [&](Host* host) {
@@ -400,22 +410,23 @@
   std::vector<CallerHandle> runs_;  // Copies that ran, in order.
   int faults_ = 0;
   int ticks_ = 0;
-  int asks_ = 0;
+  int copies_ = 0;
 };
 
 std::vector<Step> ClaimsWorld::Steps() {
   std::vector<Step> steps;
   for (int n = 0; n < kEntries; ++n) {
-    // The entries are alike, so the first copy goes to entry 0.
-    if (asks_ < bounds_.asks && (asks_ > 0 || n == 0)) {
-      steps.push_back({StrCat("copy ", asks_ + 1, " reaches entry ", n),
+    // The entries are identical, so the first copy goes to entry 0.
+    if (copies_ < bounds_.copies && (copies_ > 0 || n == 0)) {
+      steps.push_back({StrCat("copy ", copies_ + 1, " reaches entry ", n),
                        [this, n] { Ask(n); }});
     }
     if (faults_ < bounds_.faults && hosts_[n].core->InProgress() > 0) {
-      steps.push_back({StrCat("entry ", n, " dies and is replaced"), [this, n] {
-                         ++faults_;
-                         Start(n);
-                       }});
+      steps.push_back(
+          {StrCat("entry ", n, " stops and is replaced"), [this, n] {
+             ++faults_;
+             Start(n);
+           }});
     }
     const bool waits = hosts_[n].core->NextWakeup() < kSecond * 3600;
     if (ticks_ < bounds_.ticks && waits) {
@@ -442,27 +453,28 @@
       Explore([&] { return std::make_unique<ClaimsWorld>(mutation, bounds); },
               bounds.max_states);
   std::cout << "states " << out.states << ", steps " << out.steps
-            << (out.whole ? "" : ", not whole") << "\n"
+            << (out.complete ? "" : ", not complete") << "\n"
             << TraceText(out) << (out.violation.empty() ? "" : "\n");
   return out;
 }
 
 // Two copies at any entries with any two faults and a wait that ends, and three
-// copies with one fault, in any order of what is on its way.
+// copies with one fault, with messages and calls in flight in any order.
 TEST(ClaimsModelTest, NoKeyRunsTwiceInAnyInterleaving) {
   for (const Bounds& bounds : {Bounds{2, 1, 2}, Bounds{1, 0, 3}}) {
     const auto out = ExploreClaims(Mutation::kNone, bounds);
     EXPECT_EQ(out.violation, "") << TraceText(out);
-    EXPECT_TRUE(out.whole);
+    EXPECT_TRUE(out.complete);
   }
 }
 
-// Without the condition on the insert, both copies claim and both run.
+// Without the condition on the insert, both copies hold the claim and both run.
 TEST(ClaimsModelTest, FindsTheSkippedClaim) {
   EXPECT_NE(ExploreClaims(Mutation::kClaimSkipped, {}).violation, "");
 }
 
-// Without the nonce, an entry takes another's row for its own lost answer.
+// Without the nonce, an entry takes another's row for that of its own write
+// whose answer was lost.
 TEST(ClaimsModelTest, FindsTheUncomparedNonce) {
   EXPECT_NE(ExploreClaims(Mutation::kNonceUncompared, {}).violation, "");
 }
--- a/tests/model/explore.h
+++ b/tests/model/explore.h
@@ -1,4 +1,4 @@
-// Visits every state that a small world can reach.
+// Model checker: visits every state that a small world can reach.
 #ifndef ACACIACHUTE_TESTS_MODEL_EXPLORE_H_
 #define ACACIACHUTE_TESTS_MODEL_EXPLORE_H_
 
@@ -12,38 +12,39 @@
 
 namespace acaciachute {
 
-// One step that the world may take next.
+// One step that may be next in the world.
 struct Step {
   std::string name;
-  std::function<void()> take;
+  std::function<void()> run;
 };
 
 struct Exploration {
   std::size_t states = 0;
   std::size_t steps = 0;
-  bool whole = true;               // False when `max_states` ended it.
-  std::string violation;           // Empty when none was found.
-  std::vector<std::string> trace;  // Steps that lead to it.
+  // False if the search stopped at `max_states`.
+  bool complete = true;
+  std::string violation;           // Empty if none was found.
+  std::vector<std::string> trace;  // Steps that lead to the violation.
 };
 
-// Breadth first, so that a violation comes with a shortest trace. The cores
-// under test cannot be copied, so a state is made again from its steps. A
-// `World` has `Steps()`, `Violation()` and `Signature()`; two states of one
-// signature must have the same future.
+// Searches breadth first, so that a violation comes with a shortest trace. The
+// cores under test cannot be copied, so a state is reproduced by its steps. A
+// `World` has `Steps()`, `Violation()` and `Signature()`; two states with the
+// same signature must have the same future.
 template <typename MakeWorld>
 Exploration Explore(const MakeWorld& make, std::size_t max_states) {
   Exploration out;
   std::unordered_set<std::string> seen;
-  std::deque<std::vector<std::size_t>> open = {{}};
-  while (!open.empty()) {
-    const std::vector<std::size_t> path = std::move(open.front());
-    open.pop_front();
+  std::deque<std::vector<std::size_t>> frontier = {{}};
+  while (!frontier.empty()) {
+    const std::vector<std::size_t> path = std::move(frontier.front());
+    frontier.pop_front();
     const auto world = make();
     std::vector<std::string> trace;
     for (const std::size_t n : path) {
       const auto steps = world->Steps();
       trace.push_back(steps[n].name);
-      steps[n].take();
+      steps[n].run();
     }
     if (!seen.insert(world->Signature()).second) {
       continue;
@@ -55,14 +56,14 @@
       return out;
     }
     if (out.states >= max_states) {
-      out.whole = false;
+      out.complete = false;
       return out;
     }
     const std::size_t steps = world->Steps().size();
     out.steps += steps;
     for (std::size_t n = 0; n < steps; ++n) {
-      open.push_back(path);
-      open.back().push_back(n);
+      frontier.push_back(path);
+      frontier.back().push_back(n);
     }
   }
   return out;
--- a/tests/model/fence_model_test.cc
+++ b/tests/model/fence_model_test.cc
@@ -1,7 +1,8 @@
-// Every interleaving of two lease holders, one sidecar that may be replaced or
-// paused, and its upstream. The guard is the real one; the lease's row, the
-// network and the upstream are the model's. Clocks do not matter here: a holder
-// may be superseded at any moment and send what it likes later.
+// Model check of fencing: every interleaving of two lease holders, one sidecar
+// that may be replaced or suspended, and its upstream. The guard is the
+// production one; the lease's row, the network and the upstream are modelled.
+// Clocks are not modelled: a holder may be superseded at any moment and send
+// any order later.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,17 +23,17 @@
 namespace acaciachute {
 namespace {
 
-// Safeguards that a mutation takes away at the guard's border.
+// Safeguards that a mutation disables, at the guard's interface.
 enum class Mutation {
   kNone,
-  kFenceUnchecked,  // Every order seems to carry the number in force.
-  kRowUnread,       // The row seems to stand at the number of the order.
+  kFenceUnchecked,  // Every order appears to carry the number in force.
+  kRowUnread,       // The row appears to have the number of the order.
 };
 
 constexpr int kHolders = 2;
-constexpr FenceNumber kMostLeases = 2;
-constexpr int kMostOrders = 2;
-constexpr int kMostFaults = 1;
+constexpr FenceNumber kMaxLeases = 2;
+constexpr int kMaxOrders = 2;
+constexpr int kMaxFaults = 1;
 constexpr std::size_t kMaxStates = 400'000;
 constexpr DurationUs kPause = 10 * kSecond;
 
@@ -45,36 +46,37 @@
 
   std::vector<Step> Steps();
 
-  // "An old order is never carried out": numbers at the upstream never fall,
-  // and an order is carried out once.
+  // No old order is executed: numbers at the upstream never decrease, and an
+  // order is executed once.
   std::string Violation() const {
-    if (!std::is_sorted(carried_out_.begin(), carried_out_.end())) {
-      return "an old order was carried out after a newer one";
+    if (!std::is_sorted(executed_.begin(), executed_.end())) {
+      return "an old order was executed after a newer one";
     }
-    return twice_ ? "an order was carried out twice" : "";
+    return executed_twice_ ? "an order was executed twice" : "";
   }
 
   // The guard's state follows from its inputs.
   std::string Signature() const {
-    std::string out = StrCat(row_, " ", faults_, " ", orders_, ";", history_,
-                             ";", upstream_number_, twice_ ? "!" : "", ";");
+    std::string out =
+        StrCat(row_, " ", faults_, " ", orders_, ";", history_, ";",
+               upstream_number_, executed_twice_ ? "!" : "", ";");
     for (const auto it : held_) {
       out += StrCat("h", it);
     }
-    for (const auto it : carried_out_) {
+    for (const auto it : executed_) {
       out += StrCat("c", it);
     }
-    std::vector<std::string> moving;
+    std::vector<std::string> in_flight;
     for (const auto& it : network_) {
-      moving.push_back(
+      in_flight.push_back(
           StrCat("o", it.order_id, "/", it.fence, "/", it.sidecar));
     }
     for (const auto& it : reads_) {
-      moving.push_back(StrCat("r", it.ticket, "/",
-                              it.seen ? std::to_string(*it.seen) : "-"));
+      in_flight.push_back(StrCat("r", it.ticket, "/",
+                                 it.number ? std::to_string(*it.number) : "-"));
     }
-    std::sort(moving.begin(), moving.end());
-    for (const auto& it : moving) {
+    std::sort(in_flight.begin(), in_flight.end());
+    for (const auto& it : in_flight) {
       out += it + ";";
     }
     return out + (outcome_ ? StrCat("p", outcome_->id) : "");
@@ -82,19 +84,20 @@
 
   // FenceOutput:
   void ReadLease(std::uint64_t ticket) override {
-    // An answer to an earlier ticket is ignored, so it is left out here.
+    // An answer to an earlier ticket is ignored, so only the last read is kept.
     reads_ = {{ticket, std::nullopt}};
   }
-  // Answered as the process starts.
+  // `Start` answers it.
   void ReadUpstreamFence() override {}
   void PassOrder(const ControlOrder& order) override {
-    // The number that its holder gave it, whatever the guard was shown.
+    // The number of the order's holder, whatever number the guard was shown.
     const FenceNumber number = std::stoull(order.model_version);
     const bool refused = upstream_checks_ && number < upstream_number_;
     if (!refused) {
       upstream_number_ = std::max(upstream_number_, number);
-      carried_out_.push_back(number);
-      twice_ = twice_ || !done_.insert(order.order_id).second;
+      executed_.push_back(number);
+      executed_twice_ =
+          executed_twice_ || !executed_ids_.insert(order.order_id).second;
     }
     outcome_ = {order.order_id,
                 refused ? OrderOutcome::kRefused : OrderOutcome::kDone};
@@ -104,15 +107,15 @@
  private:
   struct Read {
     std::uint64_t ticket = 0;
-    std::optional<FenceNumber> seen;  // None until it takes effect.
+    std::optional<FenceNumber> number;  // Empty until the read takes effect.
   };
   struct Outcome {
     std::string id;
     OrderOutcome outcome = OrderOutcome::kDone;
   };
 
-  // A new process in the sidecar's place; what was on its way to the old one
-  // and is not addressed to it is lost.
+  // Starts a new sidecar process; input in flight to the previous one is lost,
+  // except orders.
   void Start() {
     ++incarnation_;
     reads_.clear();
@@ -147,7 +150,7 @@
   void AnswerRead(std::size_t n, bool lost) {
     const Read read = reads_[n];
     reads_.erase(reads_.begin() + static_cast<std::ptrdiff_t>(n));
-    std::optional<FenceNumber> number = read.seen;
+    std::optional<FenceNumber> number = read.number;
     if (mutation_ == Mutation::kRowUnread) {
       number = last_number_;
     }
@@ -161,13 +164,13 @@
 
   void AddReadSteps(std::size_t n, std::vector<Step>* steps) {
     const std::string name = StrCat("read ", reads_[n].ticket, ": ");
-    if (!reads_[n].seen) {
+    if (!reads_[n].number) {
       steps->push_back(
-          {name + "takes effect", [this, n] { reads_[n].seen = row_; }});
+          {name + "takes effect", [this, n] { reads_[n].number = row_; }});
       return;
     }
     steps->push_back({name + "answered", [this, n] { AnswerRead(n, false); }});
-    if (faults_ < kMostFaults) {
+    if (faults_ < kMaxFaults) {
       steps->push_back({name + "lost", [this, n] {
                           ++faults_;
                           AnswerRead(n, true);
@@ -176,24 +179,24 @@
   }
 
   void AddOutcomeSteps(std::vector<Step>* steps) {
-    const auto tell = [this](OrderOutcome outcome) {
+    const auto deliver = [this](OrderOutcome outcome) {
       const Outcome it = *outcome_;
       outcome_.reset();
       history_ += StrCat("p", it.id, "/", static_cast<int>(outcome), ",");
       guard_->OnOutcome(++now_, it.id, outcome, upstream_number_);
     };
     steps->push_back({"upstream answers an order",
-                      [this, tell] { tell(outcome_->outcome); }});
-    if (faults_ < kMostFaults) {
-      steps->push_back({"upstream's answer is lost", [this, tell] {
+                      [this, deliver] { deliver(outcome_->outcome); }});
+    if (faults_ < kMaxFaults) {
+      steps->push_back({"upstream's answer is lost", [this, deliver] {
                           ++faults_;
-                          tell(OrderOutcome::kUnknown);
+                          deliver(OrderOutcome::kUnknown);
                         }});
     }
   }
 
   void AddFaultSteps(std::vector<Step>* steps) {
-    if (faults_ == kMostFaults) {
+    if (faults_ == kMaxFaults) {
       return;
     }
     steps->push_back({"sidecar is replaced", [this] {
@@ -207,7 +210,7 @@
                       }});
     for (std::size_t n = 0; n < network_.size(); ++n) {
       steps->push_back(
-          {network_[n].order_id + " arrives and comes again", [this, n] {
+          {network_[n].order_id + " arrives and is duplicated", [this, n] {
              ++faults_;
              Deliver(network_[n]);
            }});
@@ -222,29 +225,30 @@
   std::unique_ptr<FenceGuard> guard_;
   std::string history_;
   FenceNumber row_ = 0;
-  std::array<FenceNumber, kHolders> held_{};  // What each believes to hold.
+  // Number that each holder considers held.
+  std::array<FenceNumber, kHolders> held_{};
   std::vector<ControlOrder> network_;
   std::vector<Read> reads_;
   std::optional<Outcome> outcome_;
   FenceNumber last_number_ = 0;
   int orders_ = 0;
   int faults_ = 0;
-  // At the upstream.
+  // State of the upstream.
   FenceNumber upstream_number_ = 0;
-  std::vector<FenceNumber> carried_out_;
-  std::set<std::string> done_;
-  bool twice_ = false;
+  std::vector<FenceNumber> executed_;
+  std::set<std::string> executed_ids_;
+  bool executed_twice_ = false;
 };
 
 std::vector<Step> FenceWorld::Steps() {
   std::vector<Step> steps;
   for (int n = 0; n < kHolders; ++n) {
-    // Holders are alike, so the first lease goes to holder 0.
-    if (row_ < kMostLeases && (row_ > 0 || n == 0)) {
+    // The holders are identical, so the first lease goes to holder 0.
+    if (row_ < kMaxLeases && (row_ > 0 || n == 0)) {
       steps.push_back({StrCat("holder ", n, " takes the lease"),
                        [this, n] { held_[n] = ++row_; }});
     }
-    if (held_[n] > 0 && orders_ < kMostOrders) {
+    if (held_[n] > 0 && orders_ < kMaxOrders) {
       steps.push_back({StrCat("holder ", n, " sends an order under ", held_[n]),
                        [this, n] { Send(n); }});
     }
@@ -272,29 +276,30 @@
       [&] { return std::make_unique<FenceWorld>(mutation, upstream_checks); },
       kMaxStates);
   std::cout << "states " << out.states << ", steps " << out.steps
-            << (out.whole ? "" : ", not whole") << "\n"
+            << (out.complete ? "" : ", not complete") << "\n"
             << TraceText(out) << (out.violation.empty() ? "" : "\n");
   return out;
 }
 
-// A holder is superseded and wakes in the middle of an order, the sidecar is
-// replaced or paused, reads and outcomes are lost, orders come twice. Upstreams
-// that check numbers and those that ignore them carry out no old order.
+// A holder is superseded and resumes in the middle of an order, the sidecar is
+// replaced or suspended, reads and outcomes are lost, and orders are
+// duplicated. Upstreams that check numbers and those that ignore them execute
+// no old order.
 TEST(FenceModelTest, NoOldOrderInAnyInterleaving) {
   for (const bool upstream_checks : {false, true}) {
     const auto out = ExploreFence(Mutation::kNone, upstream_checks);
     EXPECT_EQ(out.violation, "") << TraceText(out);
-    EXPECT_TRUE(out.whole);
+    EXPECT_TRUE(out.complete);
   }
 }
 
-// Without the number, the order of a holder that wakes is passed on.
+// Without the number, the order of a holder that resumes is forwarded.
 TEST(FenceModelTest, FindsTheUncheckedFence) {
   EXPECT_NE(ExploreFence(Mutation::kFenceUnchecked, false).violation, "");
 }
 
-// Without the row, a sidecar that has not yet heard of the new holder, or was
-// just replaced, believes the old one.
+// Without the row, a sidecar that has not received the new holder's number, or
+// was just replaced, accepts the old one's orders.
 TEST(FenceModelTest, FindsTheUnreadRow) {
   EXPECT_NE(ExploreFence(Mutation::kRowUnread, false).violation, "");
 }
--- a/tests/model/settings_model_test.cc
+++ b/tests/model/settings_model_test.cc
@@ -1,6 +1,7 @@
-// Every interleaving of two operators who change one branch and two nodes that
-// read it. Operators and nodes decide by the real `SettingsWrite` and
-// `Settings::With`; the table and what is lost or late are the model's.
+// Model check of settings writes: every interleaving of two operators who
+// change one branch and one node that reads it. Operators and node use the
+// production `SettingsWrite` and `Settings::With`; the table and lost or late
+// messages are modelled.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,18 +21,18 @@
 namespace acaciachute {
 namespace {
 
-// Safeguards that a mutation takes away.
+// Safeguards that a mutation disables.
 enum class Mutation {
   kNone,
-  kVersionUncompared,      // The table takes a write at any version.
-  kNonceUncompared,        // An operator takes every history row for its own.
+  kVersionUncompared,      // The table accepts a write at any version.
+  kNonceUncompared,        // An operator accepts every history row as its own.
   kNodeVersionUncompared,  // A node applies whatever it reads.
 };
 
 constexpr int kOperators = 2;
 constexpr int kNodes = 1;
-constexpr int kMostFaults = 2;
-constexpr int kMostReads = 2;
+constexpr int kMaxFaults = 2;
+constexpr int kMaxReads = 2;
 constexpr std::size_t kMaxStates = 400'000;
 constexpr char kBranch[] = "depot";
 
@@ -61,22 +62,24 @@
       if (!result) {
         continue;
       }
-      const bool stands = Stands(n);
+      const bool is_written = IsWritten(n);
       if (result->outcome == WriteOutcome::kAccepted &&
-          (!stands || ++accepted[result->version] > 1)) {
-        return StrCat("operator ", n, " told accepted, but is not in force");
+          (!is_written || ++accepted[result->version] > 1)) {
+        return StrCat("operator ", n,
+                      " received accepted, but the change is not in force");
       }
       if (result->outcome != WriteOutcome::kAccepted &&
-          result->outcome != WriteOutcome::kUnknown && stands) {
-        return StrCat("operator ", n, " told ", Name(result->outcome),
+          result->outcome != WriteOutcome::kUnknown && is_written) {
+        return StrCat("operator ", n, " received ", Name(result->outcome),
                       ", but the change is in force");
       }
     }
-    return went_down_ ? "a node's version went down" : "";
+    return version_decreased_ ? "a node's version decreased" : "";
   }
 
   std::string Signature() const {
-    std::string out = StrCat(faults_, " ", reads_, went_down_ ? "!" : "", ";");
+    std::string out =
+        StrCat(faults_, " ", reads_, version_decreased_ ? "!" : "", ";");
     for (const auto& it : histories_) {
       out += it + ";";
     }
@@ -86,15 +89,16 @@
     for (const auto& tree : trees_) {
       out += StrCat("n", VersionOf(tree));
     }
-    std::vector<std::string> moving;
+    std::vector<std::string> in_flight;
     for (const auto& it : calls_) {
-      moving.push_back(StrCat("c", it.op, "/", it.number, it.late ? "L" : ""));
+      in_flight.push_back(
+          StrCat("c", it.op, "/", it.number, it.late ? "L" : ""));
     }
     for (const auto& it : deliveries_) {
-      moving.push_back(StrCat("d", it.node, "/", it.row.version));
+      in_flight.push_back(StrCat("d", it.node, "/", it.row.version));
     }
-    std::sort(moving.begin(), moving.end());
-    for (const auto& it : moving) {
+    std::sort(in_flight.begin(), in_flight.end());
+    for (const auto& it : in_flight) {
       out += it + ";";
     }
     return out;
@@ -105,7 +109,8 @@
     int op = 0;
     int number = 0;
     std::vector<StoreOp> ops;
-    bool late = false;  // Its operator was told nothing; it lands some day.
+    // The operator received no answer; the write may be applied later.
+    bool late = false;
   };
   struct Delivery {
     int node = 0;
@@ -117,8 +122,8 @@
     return branch == nullptr ? 0 : branch->version;
   }
 
-  // Whether the change of operator `n` is some version of the branch.
-  bool Stands(int n) const {
+  // Whether the change of operator `n` is a version of the branch.
+  bool IsWritten(int n) const {
     for (const auto& [key, row] : rows_) {
       const auto entry = DecodeHistory(row);
       if (key.starts_with(kHistoryPrefix) && entry.ok() &&
@@ -129,7 +134,7 @@
     return false;
   }
 
-  StoreAnswer Effect(const Call& call) {
+  StoreAnswer ApplyStore(const Call& call) {
     StoreAnswer answer;
     for (const auto& op : call.ops) {
       const StoreRow row = Row(op.key);
@@ -141,7 +146,7 @@
                                            : row.version == op.version) ||
           mutation_ == Mutation::kVersionUncompared;
       if (!holds) {
-        answer.rows.push_back(Seen(call.op, row));
+        answer.rows.push_back(RowSeenBy(call.op, row));
       }
     }
     answer.status =
@@ -159,8 +164,8 @@
     return it == rows_.end() ? StoreRow{key, "", 0} : it->second;
   }
 
-  // A conflicting row as operator `n` compares it.
-  StoreRow Seen(int n, StoreRow row) const {
+  // The conflicting row as operator `n` receives it.
+  StoreRow RowSeenBy(int n, StoreRow row) const {
     auto entry = DecodeHistory(row);
     if (mutation_ == Mutation::kNonceUncompared && entry.ok()) {
       entry->nonce = 100 + n;
@@ -193,9 +198,9 @@
     return call;
   }
 
-  void Tell(const Call& call,
-            const std::string& name,
-            const StoreAnswer& answer) {
+  void DeliverAnswer(const Call& call,
+                     const std::string& name,
+                     const StoreAnswer& answer) {
     histories_[call.op] += name;
     for (const auto& row : answer.rows) {
       histories_[call.op] += StrCat("/", row.key, row.version, row.value);
@@ -207,33 +212,35 @@
     const std::string name =
         StrCat("call ", calls_[n].number, " of operator ", calls_[n].op, ": ");
     if (calls_[n].late) {
-      steps->push_back({name + "lands late", [this, n] { Effect(Take(n)); }});
+      steps->push_back(
+          {name + "is applied late", [this, n] { ApplyStore(Take(n)); }});
       return;
     }
     steps->push_back({name + "answered", [this, n] {
                         const Call call = Take(n);
-                        Tell(call, "ok", Effect(call));
+                        DeliverAnswer(call, "ok", ApplyStore(call));
                       }});
-    if (faults_ == kMostFaults) {
+    if (faults_ == kMaxFaults) {
       return;
     }
     steps->push_back({name + "takes effect, answer lost", [this, n] {
                         ++faults_;
                         const Call call = Take(n);
-                        Effect(call);
-                        Tell(call, "lost", {});
+                        ApplyStore(call);
+                        DeliverAnswer(call, "lost", {});
                       }});
-    steps->push_back({name + "no answer, may land later", [this, n] {
+    steps->push_back({name + "no answer, may be applied later", [this, n] {
                         ++faults_;
                         Call call = Take(n);
                         call.late = true;
                         calls_.push_back(call);
-                        Tell(call, "lost", {});
-                      }});
-    steps->push_back({name + "refused", [this, n] {
-                        ++faults_;
-                        Tell(Take(n), "down", {StoreStatus::kUnavailable, {}});
+                        DeliverAnswer(call, "lost", {});
                       }});
+    steps->push_back(
+        {name + "refused", [this, n] {
+           ++faults_;
+           DeliverAnswer(Take(n), "down", {StoreStatus::kUnavailable, {}});
+         }});
   }
 
   void Deliver(std::size_t n) {
@@ -248,7 +255,7 @@
     if (auto next = base.With(std::move(branch))) {
       tree = std::move(next);
     }
-    went_down_ = went_down_ || VersionOf(tree) < before;
+    version_decreased_ = version_decreased_ || VersionOf(tree) < before;
   }
 
   const Mutation mutation_;
@@ -261,7 +268,7 @@
   std::vector<Delivery> deliveries_;
   int faults_ = 0;
   int reads_ = 0;
-  bool went_down_ = false;
+  bool version_decreased_ = false;
 };
 
 std::vector<Step> SettingsWorld::Steps() {
@@ -278,7 +285,7 @@
     }
   }
   const StoreRow row = Row(SettingsRowKey(kBranch));
-  for (int n = 0; n < kNodes && reads_ < kMostReads && row.version > 0; ++n) {
+  for (int n = 0; n < kNodes && reads_ < kMaxReads && row.version > 0; ++n) {
     steps.push_back(
         {StrCat("node ", n, " reads version ", row.version), [this, n, row] {
            ++reads_;
@@ -301,20 +308,21 @@
       Explore([mutation] { return std::make_unique<SettingsWorld>(mutation); },
               kMaxStates);
   std::cout << "states " << out.states << ", steps " << out.steps
-            << (out.whole ? "" : ", not whole") << "\n"
+            << (out.complete ? "" : ", not complete") << "\n"
             << TraceText(out) << (out.violation.empty() ? "" : "\n");
   return out;
 }
 
-// One operator wins and the other is told so, whatever answers are lost or
-// writes land late; no node goes back to an older version.
+// One operator wins and the other's result says so, whatever answers are lost
+// or writes are applied late; no node returns to an older version.
 TEST(SettingsModelTest, OneOperatorWinsInAnyInterleaving) {
   const auto out = ExploreSettings(Mutation::kNone);
   EXPECT_EQ(out.violation, "") << TraceText(out);
-  EXPECT_TRUE(out.whole);
+  EXPECT_TRUE(out.complete);
 }
 
-// Without the version on the write, the second change is accepted unseen.
+// Without the version condition of the write, the second change overwrites the
+// first one.
 TEST(SettingsModelTest, FindsTheUncomparedVersion) {
   EXPECT_NE(ExploreSettings(Mutation::kVersionUncompared).violation, "");
 }
@@ -324,7 +332,8 @@
   EXPECT_NE(ExploreSettings(Mutation::kNonceUncompared).violation, "");
 }
 
-// Without its own comparison, a node applies an answer that was overtaken.
+// Without its own comparison, a node applies an answer that is older than its
+// settings.
 TEST(SettingsModelTest, FindsTheNodeThatGoesBack) {
   EXPECT_NE(ExploreSettings(Mutation::kNodeVersionUncompared).violation, "");
 }
--- a/tests/naive_system.cc
+++ b/tests/naive_system.cc
@@ -8,10 +8,10 @@
 namespace acaciachute {
 namespace {
 
-// As a first version would have it: three tries, each after a pause that a
-// quiet replica never needs.
-constexpr DurationUs kTryTimeout = 60 * kMillisecond;
-constexpr int kTries = 3;
+// Retry timeout and number of attempts of the naive version; an unloaded
+// replica answers well within the timeout.
+constexpr DurationUs kAttemptTimeout = 60 * kMillisecond;
+constexpr int kMaxAttempts = 3;
 
 }  // namespace
 
@@ -45,17 +45,17 @@
     return;
   }
   if (process->paused) {
-    process->held.push_back(std::move(task));
+    process->deferred.push_back(std::move(task));
   } else {
     task();
   }
 }
 
-void NaiveSystem::Later(Process* process,
-                        DurationUs delay,
-                        const std::function<void()>& task) {
-  At(now_ + delay, [this, process, life = process->life, task] {
-    if (process->life == life) {
+void NaiveSystem::RunAfter(Process* process,
+                           DurationUs delay,
+                           const std::function<void()>& task) {
+  At(now_ + delay, [this, process, start_count = process->start_count, task] {
+    if (process->start_count == start_count) {
       Deliver(process, task);
     }
   });
@@ -67,12 +67,12 @@
     EntryProcess& entry = entries_[n];
     const std::uint64_t id = entry.next_id++;
     entry.requests[id] = {request, 0, 0, request.body, ""};
-    Try(n, id);
+    StartAttempt(n, id);
   });
   return next_handle_ - 1;
 }
 
-void NaiveSystem::Try(int n, std::uint64_t id) {
+void NaiveSystem::StartAttempt(int n, std::uint64_t id) {
   EntryProcess& entry = entries_[n];
   Request& request = entry.requests[id];
   const DriverPool& pool = options_.pools[request.stage];
@@ -84,20 +84,21 @@
   const NodeId node =
       StrCat(pool.name, "-", 1 + next_replica_++ % pool.replicas);
   const NodeId self = StrCat("entry-", n);
-  const int tries = ++request.tries;
+  const int attempts = ++request.attempts;
   for (const DurationUs delay : network(self, node, call).delays) {
     At(now_ + delay, [this, node, n, call] {
       Deliver(&sidecars_[node],
               [this, node, n, call] { OnCall(node, n, call); });
     });
   }
-  Later(&entry, kTryTimeout, [this, n, id, tries, stage = request.stage] {
-    const auto it = entries_[n].requests.find(id);
-    if (it != entries_[n].requests.end() && it->second.stage == stage &&
-        it->second.tries == tries && tries < kTries) {
-      Try(n, id);
-    }
-  });
+  RunAfter(
+      &entry, kAttemptTimeout, [this, n, id, attempts, stage = request.stage] {
+        const auto it = entries_[n].requests.find(id);
+        if (it != entries_[n].requests.end() && it->second.stage == stage &&
+            it->second.attempts == attempts && attempts < kMaxAttempts) {
+          StartAttempt(n, id);
+        }
+      });
 }
 
 void NaiveSystem::OnCall(const NodeId& node, int n, const StageCall& call) {
@@ -110,15 +111,16 @@
     chunk.body = parts == 0     ? upstream(node, call)
                  : part < parts ? StrCat("part", part, ";")
                                 : "";
-    Later(&sidecars_[node], options_.service * (part + 1) / (parts + 1),
-          [this, node, n, chunk] {
-            for (const DurationUs delay :
-                 network(node, StrCat("entry-", n), chunk).delays) {
-              At(now_ + delay, [this, n, chunk] {
-                Deliver(&entries_[n], [this, n, chunk] { OnChunk(n, chunk); });
-              });
-            }
-          });
+    RunAfter(&sidecars_[node], options_.service * (part + 1) / (parts + 1),
+             [this, node, n, chunk] {
+               for (const DurationUs delay :
+                    network(node, StrCat("entry-", n), chunk).delays) {
+                 At(now_ + delay, [this, n, chunk] {
+                   Deliver(&entries_[n],
+                           [this, n, chunk] { OnChunk(n, chunk); });
+                 });
+               }
+             });
   }
 }
 
@@ -134,8 +136,8 @@
   }
   if (++request.stage < options_.pools.size()) {
     request.input = std::exchange(request.received, "");
-    request.tries = 0;
-    Try(n, it->first);
+    request.attempts = 0;
+    StartAttempt(n, it->first);
     return;
   }
   CallerAnswer answer;
@@ -147,30 +149,30 @@
 
 void NaiveSystem::KillEntry(int n) {
   entries_[n].alive = false;
-  entries_[n].held.clear();
+  entries_[n].deferred.clear();
 }
 
 void NaiveSystem::StartEntry(int n) {
-  const int life = entries_[n].life;
+  const int start_count = entries_[n].start_count;
   entries_[n] = {};
-  entries_[n].life = life + 1;
+  entries_[n].start_count = start_count + 1;
 }
 
 void NaiveSystem::KillSidecar(const NodeId& node) {
   sidecars_[node].alive = false;
-  sidecars_[node].held.clear();
+  sidecars_[node].deferred.clear();
 }
 
 void NaiveSystem::StartSidecar(const NodeId& node) {
-  const int life = sidecars_[node].life;
+  const int start_count = sidecars_[node].start_count;
   sidecars_[node] = {};
-  sidecars_[node].life = life + 1;
+  sidecars_[node].start_count = start_count + 1;
 }
 
 void NaiveSystem::Pause(Process* process, bool paused) {
   process->paused = paused;
   if (!paused) {
-    for (const auto& task : std::exchange(process->held, {})) {
+    for (const auto& task : std::exchange(process->deferred, {})) {
       task();
     }
   }
@@ -184,9 +186,9 @@
   Pause(&sidecars_[node], paused);
 }
 
-// What ran is gone; nobody is told.
+// Drops the runs in progress without notice to their callers.
 void NaiveSystem::CrashUpstream(const NodeId& node) {
-  ++sidecars_[node].life;
+  ++sidecars_[node].start_count;
 }
 
 }  // namespace acaciachute
--- a/tests/naive_system.h
+++ b/tests/naive_system.h
@@ -1,6 +1,6 @@
-// What the real system is measured against: round robin, blind retries after a
-// timeout, no claims, results matched by a counter that starts again with each
-// process. It takes the same schedules as `CoreDriver`.
+// Naive reference system for comparison: round robin, blind retries after a
+// timeout, no claims, and results matched by a counter that restarts with each
+// process. It runs the same schedules as `CoreDriver`.
 #ifndef ACACIACHUTE_TESTS_NAIVE_SYSTEM_H_
 #define ACACIACHUTE_TESTS_NAIVE_SYSTEM_H_
 
@@ -36,22 +36,22 @@
   std::function<Fate(const NodeId& from, const NodeId& to, const Message&)>
       network;
   std::function<StoreFault(const std::vector<StoreOp>&)>
-      store_fault;  // Unused.
+      store_fault;  // Unused; required by the schedules.
   std::function<std::string(const NodeId& node, const StageCall&)> upstream;
   int stream_parts = 3;
 
  private:
-  // A process of either kind.
+  // An entry or sidecar process.
   struct Process {
-    int life = 1;
+    int start_count = 1;
     bool alive = true;
     bool paused = false;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> deferred;
   };
   struct Request {
     CallerRequest call;
     std::size_t stage = 0;
-    int tries = 0;
+    int attempts = 0;
     std::string input;
     std::string received;
   };
@@ -61,11 +61,11 @@
   };
 
   void Deliver(Process* process, std::function<void()> task);
-  void Later(Process* process,
-             DurationUs delay,
-             const std::function<void()>& task);
+  void RunAfter(Process* process,
+                DurationUs delay,
+                const std::function<void()>& task);
   void Pause(Process* process, bool paused);
-  void Try(int n, std::uint64_t id);
+  void StartAttempt(int n, std::uint64_t id);
   void OnCall(const NodeId& node, int n, const StageCall& call);
   void OnChunk(int n, const StageChunk& chunk);
 
--- a/tests/pairs_test.cc
+++ b/tests/pairs_test.cc
@@ -1,4 +1,5 @@
-// Two failures at once, with the second at every moment of the first.
+// Tests of two simultaneous failures, with the second one at every moment of
+// the first.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,8 +18,9 @@
 namespace {
 
 constexpr DurationUs kDeadline = 2 * kSecond;
-// The loop's timers and the answer's way; later than this is no answer.
-constexpr DurationUs kSlack = 50 * kMillisecond;
+// Maximum delay of an answer after its deadline: timer resolution and network
+// delay. A later answer counts as missing.
+constexpr DurationUs kAnswerMargin = 50 * kMillisecond;
 
 CallerRequest Once(const std::string& key) {
   CallerRequest request = CoreDriver::MakeOnce(key, StrCat("\"", key, "\""));
@@ -40,12 +42,12 @@
   return std::string(Name(answers[0].answer.verdict));
 }
 
-// The platform takes 300 ms for each call, and the entry dies at some moment of
-// its request; the caller resends at once to another entry. Whatever had come
-// through, the order runs at most once, and the second entry does not call it
-// "not run" when it ran.
+// The platform takes 300 ms for each call, and the entry is killed at some
+// moment of its request; the caller resends at once to another entry. Whatever
+// had been sent before, the order runs at most once, and the second entry does
+// not answer "not run" if it ran.
 TEST(PairsTest, PlatformSlowAndEntryKilled) {
-  std::map<std::string, int> told;
+  std::map<std::string, int> by_verdict;
   for (DurationUs at = 0; at <= kSecond; at += 10 * kMillisecond) {
     DriverOptions options;
     options.entries = 2;
@@ -57,9 +59,9 @@
     driver.Run(at);
     driver.KillEntry(0);
     const CallerHandle resent = driver.Ask(1, Once("order-1"));
-    driver.Run(kDeadline + kSlack);
+    driver.Run(kDeadline + kAnswerMargin);
     const std::string verdict = VerdictOf(driver, resent);
-    ++told[verdict];
+    ++by_verdict[verdict];
     const int runs = driver.RunsOf("order-1");
     EXPECT_LE(runs, 1) << "killed after " << at;
     if (verdict == "answered") {
@@ -70,15 +72,15 @@
       EXPECT_EQ(verdict, "may_have_run") << "killed after " << at;
     }
   }
-  for (const auto& [verdict, n] : told) {
-    std::cout << "resent copy told " << verdict << ": " << n << "\n";
+  for (const auto& [verdict, n] : by_verdict) {
+    std::cout << "resent copy answered " << verdict << ": " << n << "\n";
   }
 }
 
-// One replica takes twenty times as long and the sidecar of another is paused
-// with calls in its hands for longer than their deadline. Every caller has one
-// final answer by its deadline; most are answered, since a third replica is
-// well; no order runs twice.
+// One replica takes twenty times as long, and the sidecar of another is paused
+// with calls in progress for longer than their deadline. Every caller receives
+// one final answer by its deadline; most are answered, since a third replica is
+// healthy; no order runs twice.
 TEST(PairsTest, UpstreamStragglingAndSidecarPaused) {
   constexpr int kRequests = 300;
   DriverOptions options;
@@ -102,7 +104,7 @@
         driver.Ask(n % 2, n % 3 == 0 ? Once(name) : Repeatable(name)));
     driver.Run(10 * kMillisecond);
   }
-  driver.Run(kDeadline + kSlack);
+  driver.Run(kDeadline + kAnswerMargin);
   int answered = 0;
   for (int n = 0; n < kRequests; ++n) {
     const std::string verdict = VerdictOf(driver, handles[n]);
@@ -121,8 +123,9 @@
 }
 
 // A burst fills both replicas, and one begins to leave in the middle of it,
-// with calls running and waiting. Nothing is started there any more; what runs
-// is finished; what waits is handed back and goes to the other or is refused.
+// with calls running and waiting. No further call starts there; running calls
+// are finished; waiting calls are returned and go to the other replica or are
+// refused.
 TEST(PairsTest, BurstAndUpstreamLeaving) {
   constexpr int kRequests = 200;
   DriverOptions options;
@@ -142,7 +145,7 @@
         driver.Ask(n % 2, n % 3 == 0 ? Once(name) : Repeatable(name)));
     driver.Run(kMillisecond);
   }
-  driver.Run(kDeadline + kSlack);
+  driver.Run(kDeadline + kAnswerMargin);
   const auto started_late = std::count_if(
       driver.runs().begin(), driver.runs().end(), [&](const UpstreamRun& it) {
         return it.node == "orders-1" && it.at > left_at;
@@ -162,8 +165,9 @@
 }
 
 // The answer to one of the first table calls is lost, before or after its
-// effect, or it lands late, while the caller's second copy reaches another
-// entry some time later. One of them runs the order, never both.
+// effect, or is applied late, or is duplicated, while the caller's second copy
+// reaches another entry some time later. One of the copies runs the order,
+// never both.
 TEST(PairsTest, LostStoreAnswerAndResend) {
   constexpr std::array<StoreFault, 4> kFaults = {
       StoreFault::kLoseBefore, StoreFault::kLoseAfter, StoreFault::kLandLate,
@@ -187,7 +191,7 @@
         const CallerHandle first = driver.Ask(0, Once("order-1"));
         driver.Run(gap);
         const CallerHandle second = driver.Ask(1, Once("order-1"));
-        driver.Run(kDeadline + kSlack);
+        driver.Run(kDeadline + kAnswerMargin);
         ++cases;
         const int runs = driver.RunsOf("order-1");
         EXPECT_LE(runs, 1) << "call " << lost << " gap " << gap;
@@ -204,14 +208,14 @@
   EXPECT_GT(answered, cases);
 }
 
-// A request ends each upstream that runs it, and the entry that sent it dies at
-// some moment, with what it knows of the crash; its caller goes to the next
-// entry. The pool of nine loses few replicas, wherever that moment falls, and
-// the last resend is refused with its reason.
+// A request crashes each upstream that runs it, and the entry that sent it is
+// killed at some moment, with what it knows of the crash; its caller goes to
+// the next entry. The pool of nine loses few replicas, whenever the entry is
+// killed, and the last resent request is refused with its reason.
 TEST(PairsTest, PoisonAndFailover) {
   constexpr int kPoolEntries = 4;
   constexpr int kSends = 12;
-  int most = 0;
+  int max_crashes = 0;
   for (DurationUs at = 0; at <= 200 * kMillisecond; at += 5 * kMillisecond) {
     DriverOptions options;
     options.entries = kPoolEntries;
@@ -232,18 +236,19 @@
       }
       driver.Run(kSecond);
     }
-    most = std::max(most, driver.UpstreamCrashes());
+    max_crashes = std::max(max_crashes, driver.UpstreamCrashes());
     ASSERT_EQ(driver.AnswersTo(last).size(), 1) << "killed after " << at;
     EXPECT_EQ(driver.AnswersTo(last)[0].answer.reason, Refusal::kQuarantined)
         << "killed after " << at;
   }
-  std::cout << "replicas lost at most " << most << "\n";
-  EXPECT_LE(most, 4);
+  std::cout << "replicas lost at most " << max_crashes << "\n";
+  EXPECT_LE(max_crashes, 4);
 }
 
-// Two operators edit one version of a branch, and an entry is replaced before
-// some step of theirs. One change is accepted and the other operator is told
-// the version that won; every entry, the new one too, then serves the winner's.
+// Two operators edit the same version of a branch, and an entry is restarted
+// before one of their steps. One change is accepted, and the other operator
+// receives the version that won; every entry, including the restarted one, then
+// serves the winner's change.
 TEST(PairsTest, SettingsRaceAndNodeRestart) {
   constexpr int kNodes = 4;
   constexpr int kSteps = 4;
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -1,6 +1,7 @@
-// Results: late, doubled, reordered, of earlier attempts and other requests,
-// across restarts of sidecars; streams cut at each chunk. Judged by what the
-// caller receives: its own whole answer, or an end that says it is not whole.
+// Tests of stage results that are late, duplicated, reordered, or belong to
+// earlier attempts or other requests, across restarts of sidecars, and of
+// streams interrupted at each chunk. The caller must receive its own complete
+// answer, or an end that marks the answer as incomplete.
 #include <gtest/gtest.h>
 
 #include "tests/core_driver.h"
@@ -10,7 +11,7 @@
 namespace acaciachute {
 namespace {
 
-constexpr char kWhole[] = "part0;part1;part2;";
+constexpr char kCompleteAnswer[] = "part0;part1;part2;";
 
 DriverOptions TwoGenerators() {
   DriverOptions options;
@@ -30,14 +31,15 @@
   return answers.empty() ? CallerAnswer{} : answers[0].answer;
 }
 
-// The upstream dies after 0, 1, 2 or 3 parts reached the caller. The request is
-// idempotent: another replica says the same from the start, and the caller's
-// stream goes on where it was cut, so it reads the answer once and whole.
+// The upstream stops after 0, 1, 2 or 3 parts reached the caller. The request
+// is idempotent: another replica gives the same answer from the start, and the
+// caller's stream continues where it was interrupted, so the caller receives
+// the complete answer once.
 TEST(PipelineTest, IdempotentStreamCutAtEachChunkIsResumed) {
-  for (int cut = 0; cut <= 3; ++cut) {
+  for (int parts_before_stop = 0; parts_before_stop <= 3; ++parts_before_stop) {
     CoreDriver driver(TwoGenerators());
     const auto handle = driver.Ask(0, StreamRequest(R"("a")"));
-    while (driver.StreamOf(handle).size() < 6U * cut) {
+    while (driver.StreamOf(handle).size() < 6U * parts_before_stop) {
       driver.Run(kMillisecond / 4);
     }
     driver.Run(2 * kMillisecond);
@@ -45,37 +47,40 @@
       driver.KillSidecar(driver.runs()[0].node);
     }
     driver.Run(kSecond);
-    EXPECT_EQ(OnlyAnswer(driver, handle).verdict, Verdict::kAnswered) << cut;
-    EXPECT_EQ(driver.StreamOf(handle), kWhole) << cut;
-    EXPECT_EQ(OnlyAnswer(driver, handle).body, kWhole) << cut;
+    EXPECT_EQ(OnlyAnswer(driver, handle).verdict, Verdict::kAnswered)
+        << parts_before_stop;
+    EXPECT_EQ(driver.StreamOf(handle), kCompleteAnswer) << parts_before_stop;
+    EXPECT_EQ(OnlyAnswer(driver, handle).body, kCompleteAnswer)
+        << parts_before_stop;
   }
 }
 
-// The same cuts of a request that may not be repeated. The caller has some
+// The same interruptions of a non-idempotent request. The caller receives some
 // parts and then an error that says "may have run"; never an end marker, and
 // never a second run.
 TEST(PipelineTest, NonIdempotentStreamCutAtEachChunkEndsWithItsVerdict) {
-  for (int cut = 1; cut <= 3; ++cut) {
+  for (int parts_before_stop = 1; parts_before_stop <= 3; ++parts_before_stop) {
     CoreDriver driver(TwoGenerators());
     CallerRequest request = CoreDriver::MakeOnce("k", R"("b")");
     request.stream = true;
     const auto handle = driver.Ask(0, request);
-    while (driver.StreamOf(handle).size() < 6U * cut) {
+    while (driver.StreamOf(handle).size() < 6U * parts_before_stop) {
       driver.Run(kMillisecond / 4);
     }
     driver.KillSidecar(driver.runs()[0].node);
     driver.Run(kSecond);
     const auto answer = OnlyAnswer(driver, handle);
-    EXPECT_EQ(driver.RunsOf("\"b\""), 1) << cut;
+    EXPECT_EQ(driver.RunsOf("\"b\""), 1) << parts_before_stop;
     EXPECT_EQ(answer.verdict == Verdict::kAnswered,
-              driver.StreamOf(handle) == kWhole && answer.body == kWhole);
+              driver.StreamOf(handle) == kCompleteAnswer &&
+                  answer.body == kCompleteAnswer);
     EXPECT_NE(answer.verdict, Verdict::kNotRun);
   }
 }
 
-// After the cut the other replica says something else. What the caller has
-// cannot be continued by it: the stream ends with an error instead of an answer
-// made of two halves.
+// After the interruption the other replica gives a different answer, which
+// cannot continue the caller's stream: it ends with an error instead of an
+// answer made of two parts that do not match.
 TEST(PipelineTest, StreamThatDivergesAfterACutEndsWithAnError) {
   CoreDriver driver(TwoGenerators());
   const auto handle = driver.Ask(0, StreamRequest(R"("c")"));
@@ -89,18 +94,20 @@
                : Fate{{1500}};
   };
   driver.KillSidecar(first);
-  driver.stream_parts = 0;  // The second replica's answer is another one.
+  driver.stream_parts = 0;  // The second replica's answer differs.
   driver.Run(kSecond);
   const auto answer = OnlyAnswer(driver, handle);
   EXPECT_EQ(answer.verdict, Verdict::kMayHaveRun);
-  // Only what the first replica said, with what was on its way.
-  EXPECT_TRUE(std::string_view(kWhole).starts_with(driver.StreamOf(handle)));
+  // The stream contains only parts of the first replica's answer, including
+  // those that were in flight.
+  EXPECT_TRUE(
+      std::string_view(kCompleteAnswer).starts_with(driver.StreamOf(handle)));
   EXPECT_GE(driver.entry_metrics(0).Value("acaciachute_streams_diverged_total"),
             1);
 }
 
-// One chunk of a streamed answer never arrives, whichever it is. The caller
-// gets no end marker for the rest; at its deadline it is told so.
+// One chunk of a streamed answer is lost, whichever it is. The caller receives
+// no end marker; at its deadline the answer is reported as incomplete.
 TEST(PipelineTest, LostChunkNeverMakesAWholeAnswer) {
   for (std::uint32_t lost = 0; lost <= 3; ++lost) {
     CoreDriver driver(TwoGenerators());
@@ -112,19 +119,20 @@
     const auto handle = driver.Ask(0, StreamRequest(R"("d")"));
     driver.Run(6 * kSecond);
     EXPECT_EQ(OnlyAnswer(driver, handle).verdict, Verdict::kMayHaveRun);
-    EXPECT_TRUE(std::string_view(kWhole).starts_with(driver.StreamOf(handle)));
+    EXPECT_TRUE(
+        std::string_view(kCompleteAnswer).starts_with(driver.StreamOf(handle)));
   }
 }
 
-// A sidecar restarts and its successor answers under an old attempt's key; an
-// answer of another request comes under this one's attempt numbers. Neither is
-// the attempt in progress, and both are dropped and counted.
+// A sidecar restarts and its successor answers under an old attempt's key, and
+// an answer of another request arrives under this one's attempt numbers.
+// Neither belongs to the attempt in progress, and both are dropped and counted.
 TEST(PipelineTest, ResultsOfOtherAttemptsAreDropped) {
   CoreDriver driver(TwoGenerators());
-  StageChunk seen;
+  StageChunk last_chunk;
   driver.network = [&](const NodeId&, const NodeId&, const Message& it) {
     if (const auto* chunk = std::get_if<StageChunk>(&it)) {
-      seen = *chunk;
+      last_chunk = *chunk;
     }
     return Fate{{1500}};
   };
@@ -133,13 +141,15 @@
   const auto handle = driver.Ask(0, CoreDriver::MakeRequest(R"("new")"));
   driver.Run(6 * kMillisecond);
   const UpstreamRun run = driver.runs().back();
-  StageChunk forged = seen;  // Whole and last, but of "old".
-  driver.entry(0).OnMessage(driver.now(), run.node, forged);
-  forged.key = run.key;  // Right key, but of the sidecar's predecessor.
-  forged.sidecar = seen.sidecar + 1;
-  driver.entry(0).OnMessage(driver.now(), run.node, forged);
-  forged.key.attempt += 1;
-  driver.entry(0).OnMessage(driver.now(), run.node, forged);
+  // Complete and marked as last, but the answer to "old".
+  StageChunk foreign_chunk = last_chunk;
+  driver.entry(0).OnMessage(driver.now(), run.node, foreign_chunk);
+  // The right key, but from a previous incarnation of the sidecar.
+  foreign_chunk.key = run.key;
+  foreign_chunk.sidecar = last_chunk.sidecar + 1;
+  driver.entry(0).OnMessage(driver.now(), run.node, foreign_chunk);
+  foreign_chunk.key.attempt += 1;
+  driver.entry(0).OnMessage(driver.now(), run.node, foreign_chunk);
   EXPECT_TRUE(driver.AnswersTo(handle).empty());
   driver.Run(kSecond);
   EXPECT_TRUE(Contains(OnlyAnswer(driver, handle).body, "new"));
@@ -147,8 +157,8 @@
             3);
 }
 
-// Chunks come in any order, doubled and late. The caller reads each part once
-// and in order.
+// Chunks arrive in any order, duplicated and late. The caller receives each
+// part once and in order.
 TEST(PipelineTest, ChunksInAnyOrderMakeOneAnswer) {
   EXPECT_EQ(CounterExample(
                 21, 200,
@@ -169,14 +179,15 @@
                   const auto handle = driver.Ask(0, StreamRequest(R"("e")"));
                   driver.Run(kSecond);
                   RC_ASSERT(driver.AnswersTo(handle).size() == 1U);
-                  RC_ASSERT(driver.AnswersTo(handle)[0].answer.body == kWhole);
-                  RC_ASSERT(driver.StreamOf(handle) == kWhole);
+                  RC_ASSERT(driver.AnswersTo(handle)[0].answer.body ==
+                            kCompleteAnswer);
+                  RC_ASSERT(driver.StreamOf(handle) == kCompleteAnswer);
                 }),
             "");
 }
 
 // The pool's definition changes between two stages: its replicas are now those
-// of another pool. The request in progress keeps the pool that it was admitted
+// of another pool. The request in progress keeps the settings it was admitted
 // under; otherwise its second stage would run at the wrong upstream.
 TEST(PipelineTest, RequestKeepsItsPoolsThroughAllStages) {
   DriverOptions options;
@@ -204,8 +215,9 @@
   EXPECT_EQ(driver.runs()[1].node, "generators-1");
 }
 
-// The caller hangs up in the second stage: the attempt is cancelled through to
-// the upstream, so that it works for nobody no longer.
+// The caller disconnects while an attempt is in progress: the attempt is
+// cancelled through to the upstream, so that no work continues without a
+// caller.
 TEST(PipelineTest, HangUpCancelsThroughToTheUpstream) {
   CoreDriver driver(TwoGenerators());
   driver.service_time = [](const NodeId&, const StageCall&) { return kSecond; };
--- a/tests/platform_client_test.cc
+++ b/tests/platform_client_test.cc
@@ -1,4 +1,5 @@
-// When the platform is asked and when not: down, slow, busy.
+// Tests when calls to the platform are made and when not: while it is down,
+// slow or busy.
 #include "coordination/interface/platform_client.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,7 @@
 
 class PlatformClientTest : public testing::Test {
  protected:
-  // Makes a call that ends after `took`; false when it is not made.
+  // Makes a call that ends after `took`; returns false if it is not made.
   bool Call(StorePurpose purpose, DurationUs took, StoreStatus status) {
     const auto call = client_.Start(now_, purpose);
     now_ += took;
@@ -27,9 +28,9 @@
   PlatformClient client_{&random_, &metrics_};
 };
 
-// The platform refuses everything for an hour. After half a second claims are
-// refused without a call, and only a few tries a minute are made; the first
-// answer opens the way again.
+// The platform refuses all calls for an hour. After half a second claims are
+// refused without a call, and only probe calls are made, at most two a second;
+// the first answer ends the down state.
 TEST_F(PlatformClientTest, DownIsNoticedAndLeft) {
   int made = 0;
   for (int n = 0; n < 36000; ++n) {
@@ -44,7 +45,8 @@
   EXPECT_TRUE(Claim(kMillisecond, StoreStatus::kOk));
 }
 
-// Every answer takes 800 ms. That is slow and not down: no claim is refused.
+// Every answer takes 800 ms: the platform is slow but not down, and no claim is
+// refused.
 TEST_F(PlatformClientTest, SlowIsNotDown) {
   for (int n = 0; n < 200; ++n) {
     EXPECT_TRUE(Claim(800 * kMillisecond, StoreStatus::kOk));
@@ -52,8 +54,8 @@
   EXPECT_EQ(client_.state(now_), PlatformState::kSlow);
 }
 
-// One answer in four is lost, or refused for being over the rate. The platform
-// is up, and claims go on.
+// One answer in four is lost, or refused for exceeding the rate. The platform
+// is up, and claims continue.
 TEST_F(PlatformClientTest, LostAnswersAreNoOutage) {
   for (int n = 0; n < 400; ++n) {
     EXPECT_TRUE(Claim(20 * kMillisecond,
@@ -62,18 +64,19 @@
   EXPECT_EQ(client_.state(now_), PlatformState::kUp);
 }
 
-// The platform takes calls and never answers. The caller of the next claim is
-// refused after a second instead of at its own timeout.
+// The platform accepts calls and never answers. After the unanswered-call
+// timeout the next claim is refused at once instead of at its own timeout.
 TEST_F(PlatformClientTest, SilenceIsDown) {
   ASSERT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));
   now_ += Breaker::kUnansweredTimeout + kMillisecond;
   EXPECT_EQ(client_.state(now_), PlatformState::kDown);
-  EXPECT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));  // Tries it.
+  // Admitted as a probe call.
+  EXPECT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));
   EXPECT_FALSE(client_.Start(now_, StorePurpose::kClaimWrites));
   EXPECT_TRUE(client_.Start(now_, StorePurpose::kSettings));
 }
 
-// One slow call among quick ones does not make the platform down.
+// One slow call among fast ones does not mean that the platform is down.
 TEST_F(PlatformClientTest, OneSilentCallAmongAnsweredOnes) {
   ASSERT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));
   for (int n = 0; n < 100; ++n) {
@@ -82,8 +85,8 @@
   EXPECT_EQ(client_.state(now_), PlatformState::kUp);
 }
 
-// A hot caller polls for a status without end. Its reads are held to their
-// rate and places; claims pass.
+// A caller polls for a status continuously. Its reads are limited to their rate
+// and concurrency; claims are not affected.
 TEST_F(PlatformClientTest, HotReaderDoesNotTakeTheClaimsPlaces) {
   int reads = 0;
   for (int n = 0; n < 1000; ++n) {
--- a/tests/pool_control_test.cc
+++ b/tests/pool_control_test.cc
@@ -1,4 +1,5 @@
-// Orders of a lease's holder: one at a time, bounded, repeated without harm.
+// Tests of a lease holder's orders: one at a time, limited in rate, and safe to
+// repeat.
 #include "coordination/control/pool_control.h"
 
 #include <gtest/gtest.h>
@@ -45,8 +46,8 @@
   EXPECT_EQ(sent_.size(), 3U);
 }
 
-// The answer is lost. The order goes out again under its id, which the sidecar
-// knows: there is no second load.
+// The answer is lost. The order is sent again under its id, which the sidecar
+// recognizes: there is no second load.
 TEST_F(PoolControlTest, LostAnswerRepeatsTheSameOrder) {
   Tick();
   Tick(PoolControl::kResendPeriod);
@@ -54,8 +55,8 @@
   EXPECT_EQ(sent_[0].second.order_id, sent_[1].second.order_id);
 }
 
-// The lease runs out while an order is in progress: nothing more is sent, and
-// the late answer counts for nothing. Under the next number it is a new order.
+// The lease expires while an order is in progress: no more orders are sent, and
+// the late answer is ignored. Under the next number the order is a new one.
 TEST_F(PoolControlTest, NothingIsSentWithoutTheLease) {
   Tick();
   fence_ = 0;
@@ -71,7 +72,8 @@
   EXPECT_NE(sent_[1].second.order_id, sent_[0].second.order_id);
 }
 
-// Fifty replicas and an upstream that answers at once: reloads stay bounded.
+// Fifty replicas, each of which answers at once: the rate of reloads stays
+// limited.
 TEST_F(PoolControlTest, ReloadsPerMinuteAreBounded) {
   targets_.clear();
   for (Incarnation n = 1; n <= 50; ++n) {
@@ -86,13 +88,13 @@
   EXPECT_EQ(sent_.size(), PoolControl::kMaxOrdersPerMinute);
 }
 
-// A sidecar that started under the number in force refuses to guess what its
-// predecessor passed; the holder is told to take a newer one.
+// A sidecar that started under the number in force does not know what its
+// predecessor forwarded; the holder must acquire a newer number.
 TEST_F(PoolControlTest, RestartedSidecarWantsANewerNumber) {
   Tick();
   EXPECT_TRUE(Answer(Refusal::kNotCurrent));
   Tick();
-  EXPECT_EQ(sent_.size(), 1U);  // Not before the pause.
+  EXPECT_EQ(sent_.size(), 1U);  // Not sent before the retry delay has passed.
   Tick(PoolControl::kFailureRetryDelay);
   EXPECT_EQ(sent_.size(), 2U);
 }
--- a/tests/property.h
+++ b/tests/property.h
@@ -1,5 +1,5 @@
-// Properties by rapidcheck under a fixed seed, so that each run gives the same
-// verdict.
+// Property tests by rapidcheck with a fixed seed, so that each run gives the
+// same result.
 #ifndef ACACIACHUTE_TESTS_PROPERTY_H_
 #define ACACIACHUTE_TESTS_PROPERTY_H_
 
@@ -13,7 +13,8 @@
 
 namespace acaciachute {
 
-// Empty when `property` held in `runs` cases; else rapidcheck's counterexample.
+// Returns rapidcheck's counterexample for `property` in `runs` cases; empty if
+// there is none.
 template <typename Property>
 std::string CounterExample(std::uint64_t seed, int runs, Property&& property) {
   rc::detail::TestParams params;
@@ -29,7 +30,7 @@
   return out.str();
 }
 
-// Fails the running test when `property` is false for one of `runs` cases.
+// Fails the running test if `property` is false for one of `runs` cases.
 template <typename Property>
 void CheckProperty(const std::string& name,
                    std::uint64_t seed,
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -1,4 +1,5 @@
-// One request that ends each upstream it reaches, sent again and again.
+// Tests with a request that crashes each upstream it reaches and is sent
+// repeatedly.
 #include "coordination/interface/quarantine.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 namespace acaciachute {
 namespace {
 
-constexpr char kPoison[] = R"({"order":"poison"})";
+constexpr char kCrashingBody[] = R"({"order":"poison"})";
 
 DriverOptions Brookvale() {
   DriverOptions options;
@@ -20,68 +21,72 @@
   return options;
 }
 
-bool IsPoison(const NodeId&, const StageCall& call) {
+bool IsCrashingRequest(const NodeId&, const StageCall& call) {
   return Contains(call.body, "poison");
 }
 
-// Sends 400 innocents a second and lets a caller send the poison again through
-// the next entry as soon as it has its answer. Returns the poison's handles.
-std::vector<CallerHandle> RunWithPoison(CoreDriver* driver,
-                                        int resends,
-                                        std::vector<CallerHandle>* innocents) {
-  std::vector<CallerHandle> poison;
-  for (int n = 0; n < 4000 && static_cast<int>(poison.size()) <= resends; ++n) {
+// Sends 400 harmless requests per second, and lets a caller resend the crashing
+// request through the next entry as soon as it is answered. Returns the handles
+// of the crashing request's copies.
+std::vector<CallerHandle> RunWithCrashingRequest(
+    CoreDriver* driver,
+    int resends,
+    std::vector<CallerHandle>* harmless) {
+  std::vector<CallerHandle> crashing;
+  for (int n = 0; n < 4000 && static_cast<int>(crashing.size()) <= resends;
+       ++n) {
     const auto body = StrCat(R"({"order":"good-)", n, "\"}");
-    innocents->push_back(driver->Ask(n % 4, CoreDriver::MakeRequest(body)));
-    if (poison.empty() || !driver->AnswersTo(poison.back()).empty()) {
-      const int entry = static_cast<int>(poison.size()) % 4;
-      poison.push_back(driver->Ask(entry, CoreDriver::MakeRequest(kPoison)));
+    harmless->push_back(driver->Ask(n % 4, CoreDriver::MakeRequest(body)));
+    if (crashing.empty() || !driver->AnswersTo(crashing.back()).empty()) {
+      const int entry = static_cast<int>(crashing.size()) % 4;
+      crashing.push_back(
+          driver->Ask(entry, CoreDriver::MakeRequest(kCrashingBody)));
     }
     driver->Run(2500);
   }
   driver->Run(10 * kSecond);
-  return poison;
+  return crashing;
 }
 
-// The caller sends its request again through each entry in turn, among other
-// callers' requests. Its first run ends a replica with all that is in progress
-// there; the second, apart, ends another and convicts it. From then on it is
-// refused at once with its reason, and every other caller is answered. Without
-// the quarantine each resend ends more replicas.
+// The caller resends its request through each entry in turn, among other
+// callers' requests. Its first run crashes a replica with everything in
+// progress there; the second, run alone, crashes another and convicts it. From
+// then on it is refused at once with its reason, and every other caller is
+// answered. Without the quarantine each resend crashes more replicas.
 TEST(QuarantineTest, ResentPoisonCostsTwoReplicasOfNine) {
   CoreDriver driver(Brookvale());
-  driver.crashes = IsPoison;
-  std::vector<CallerHandle> innocents;
-  const auto poison = RunWithPoison(&driver, 40, &innocents);
+  driver.crashes = IsCrashingRequest;
+  std::vector<CallerHandle> harmless;
+  const auto crashing = RunWithCrashingRequest(&driver, 40, &harmless);
   EXPECT_EQ(driver.UpstreamCrashes(), 2);
   EXPECT_EQ(driver.RunsOf("poison"), 2);
-  ASSERT_EQ(poison.size(), 41);
-  for (std::size_t n = 0; n < poison.size(); ++n) {
-    const auto answers = driver.AnswersTo(poison[n]);
+  ASSERT_EQ(crashing.size(), 41);
+  for (std::size_t n = 0; n < crashing.size(); ++n) {
+    const auto answers = driver.AnswersTo(crashing[n]);
     ASSERT_EQ(answers.size(), 1);
     EXPECT_EQ(answers[0].answer.reason, Refusal::kQuarantined) << n;
     EXPECT_EQ(answers[0].answer.verdict,
               n == 0 ? Verdict::kMayHaveRun : Verdict::kNotRun);
   }
   EXPECT_TRUE(
-      Contains(driver.AnswersTo(poison.back())[0].answer.detail, "models-"));
-  for (const CallerHandle it : innocents) {
+      Contains(driver.AnswersTo(crashing.back())[0].answer.detail, "models-"));
+  for (const CallerHandle it : harmless) {
     const auto answers = driver.AnswersTo(it);
     ASSERT_EQ(answers.size(), 1);
     EXPECT_EQ(answers[0].answer.verdict, Verdict::kAnswered);
   }
 }
 
-// An order that may not be repeated is poison too; its caller draws a new key
-// each time. Nothing is retried, so each of its first two sends costs one
+// A non-idempotent order crashes its upstreams, and its caller uses a new key
+// each time. There are no retries, so each of its first two sends costs one
 // replica and the third is refused.
 TEST(QuarantineTest, PoisonUnderNewKeysIsConvictedAtTheSecond) {
   CoreDriver driver(Brookvale());
-  driver.crashes = IsPoison;
+  driver.crashes = IsCrashingRequest;
   std::vector<Refusal> reasons;
   for (int n = 0; n < 6; ++n) {
-    const auto handle =
-        driver.Ask(n % 4, CoreDriver::MakeOnce(StrCat("key-", n), kPoison));
+    const auto handle = driver.Ask(
+        n % 4, CoreDriver::MakeOnce(StrCat("key-", n), kCrashingBody));
     driver.Run(kSecond);
     ASSERT_EQ(driver.AnswersTo(handle).size(), 1);
     reasons.push_back(driver.AnswersTo(handle)[0].answer.reason);
@@ -92,9 +97,9 @@
   }
 }
 
-// The order passes the encoders unharmed and ends every generator; it may not
-// be repeated, so each send begins at the encoders. What they cleared must not
-// clear it at the generators.
+// The order passes the encoders unharmed and crashes every generator; it is not
+// idempotent, so each send begins at the encoders. Its answers there must not
+// clear it for the generators.
 TEST(QuarantineTest, PoisonOfLaterStageIsConvictedThere) {
   DriverOptions options = Brookvale();
   options.pools = {{"encoders", StageKind::kEncode, 3},
@@ -104,37 +109,38 @@
     return node.starts_with("models") && Contains(call.body, "poison");
   };
   for (int n = 0; n < 10; ++n) {
-    driver.Ask(n % 4, CoreDriver::MakeOnce(StrCat("key-", n), kPoison));
+    driver.Ask(n % 4, CoreDriver::MakeOnce(StrCat("key-", n), kCrashingBody));
     driver.Run(kSecond);
   }
   EXPECT_EQ(driver.UpstreamCrashes(), 2);
 }
 
-// Four copies are sent at once, before any entry can know. Each may cost one
-// replica, and one more when it is run apart at the same time as the others.
+// Four copies are sent at once, before any entry knows of a crash. Each may
+// crash one replica, and another one when it runs alone at the same time as the
+// others.
 TEST(QuarantineTest, CopiesSentAtOnceCostTwoReplicasEach) {
   CoreDriver driver(Brookvale());
-  driver.crashes = IsPoison;
+  driver.crashes = IsCrashingRequest;
   for (int round = 0; round < 5; ++round) {
     for (int n = 0; n < 4; ++n) {
-      driver.Ask(n, CoreDriver::MakeRequest(kPoison));
+      driver.Ask(n, CoreDriver::MakeRequest(kCrashingBody));
     }
     driver.Run(kSecond);
   }
   EXPECT_LE(driver.UpstreamCrashes(), 8);
   const int before = driver.UpstreamCrashes();
-  driver.Ask(0, CoreDriver::MakeRequest(kPoison));
+  driver.Ask(0, CoreDriver::MakeRequest(kCrashingBody));
   driver.Run(kSecond);
   EXPECT_EQ(driver.UpstreamCrashes(), before);
 }
 
-// The operator has mended the engine and lifts the conviction at one entry. All
-// entries take the request again, and an old heartbeat does not bring the
-// conviction back.
+// The operator has fixed the engine and lifts the conviction at one entry. All
+// entries accept the request again, and an old heartbeat does not restore the
+// conviction.
 TEST(QuarantineTest, LiftedConvictionDoesNotComeBack) {
   CoreDriver driver(Brookvale());
-  driver.crashes = IsPoison;
-  driver.Ask(0, CoreDriver::MakeRequest(kPoison));
+  driver.crashes = IsCrashingRequest;
+  driver.Ask(0, CoreDriver::MakeRequest(kCrashingBody));
   driver.Run(kSecond);
   const auto records = driver.entry(1).quarantine().All(driver.now());
   ASSERT_EQ(records.size(), 1);
@@ -145,15 +151,16 @@
       driver.entry(1).quarantine().Lift(driver.now(), records[0].fingerprint));
   driver.Run(kSecond);
   for (int n = 0; n < 4; ++n) {
-    const auto handle = driver.Ask(n, CoreDriver::MakeRequest(kPoison));
+    const auto handle = driver.Ask(n, CoreDriver::MakeRequest(kCrashingBody));
     driver.Run(kSecond);
     ASSERT_EQ(driver.AnswersTo(handle).size(), 1);
     EXPECT_EQ(driver.AnswersTo(handle)[0].answer.verdict, Verdict::kAnswered);
   }
 }
 
-// An upstream closes one connection and lives on. Twice cut, the request is no
-// poison; without asking the upstream first it would be convicted.
+// An upstream closes one connection and continues to run. A request whose
+// connection was closed twice is not convicted, because the upstream is checked
+// first.
 TEST(QuarantineTest, CutConnectionIsNoCrash) {
   SidecarRig rig(/*limit=*/4);
   for (std::uint64_t n = 1; n <= 2; ++n) {
@@ -170,8 +177,8 @@
   EXPECT_TRUE(rig.core.quarantine().All(rig.now).empty());
 }
 
-// The upstream dies and never answers again. The calls whose connections broke
-// get their verdict when the question has been open long enough.
+// The upstream crashes and never answers again. The calls whose connections
+// were lost are answered when the crash check times out.
 TEST(QuarantineTest, DeadUpstreamThatStaysSilentIsACrash) {
   SidecarRig rig(/*limit=*/4);
   StageCall call = rig.Call(1);
@@ -186,8 +193,8 @@
   EXPECT_EQ(rig.failures[0].quarantined[0].standing, Standing::kSuspect);
 }
 
-// An entry that has not heard sends a convicted request. The sidecar is the
-// last guard and refuses it before it reaches the upstream.
+// An entry that does not know of the conviction sends a convicted request. The
+// sidecar refuses it before it reaches the upstream.
 TEST(QuarantineTest, SidecarRefusesWhatItsEntryHasNotHeardOf) {
   SidecarRig rig;
   Heartbeat heartbeat;
@@ -203,9 +210,9 @@
   EXPECT_EQ(rig.failures[0].verdict, Verdict::kNotRun);
 }
 
-// A suspect must run with nothing beside it, or the next crash blames innocents
-// again. Nothing starts while it waits for the slots to empty or runs, and
-// everything that waited is served after it.
+// A suspect must run with no other call beside it, or the next crash makes
+// harmless requests suspects again. No call starts while it waits for the slots
+// to empty or runs, and all waiting calls are served after it.
 TEST(QuarantineTest, SuspectRunsApart) {
   SidecarRig rig(/*limit=*/2);
   rig.Deliver(rig.Call(1));
@@ -222,16 +229,17 @@
   EXPECT_EQ(rig.started.size(), 4);
 }
 
-// Two copies wait at one sidecar when news of their conviction, or of a crash
-// elsewhere, comes. What waits is judged again before it is started.
+// Two requests wait at one sidecar when a heartbeat reports the conviction of
+// one and a crash of the other elsewhere. The state of a waiting call is
+// checked again before it starts.
 TEST(QuarantineTest, WaitingCallIsJudgedAgainAtHandOver) {
   SidecarRig rig;
   rig.Deliver(rig.Call(1));
-  StageCall convict = rig.Call(2);
-  convict.fingerprint = 9;
+  StageCall convicted = rig.Call(2);
+  convicted.fingerprint = 9;
   StageCall suspect = rig.Call(3);
   suspect.fingerprint = 10;
-  rig.Deliver(convict);
+  rig.Deliver(convicted);
   rig.Deliver(suspect);
   Heartbeat heartbeat;
   heartbeat.quarantined = {{9, 0, Standing::kConvicted, 0, "office", {"x"}},
@@ -248,8 +256,9 @@
   EXPECT_EQ(rig.started[2].key.request.sequence, 4);
 }
 
-// The upstream is busy with a long job when a suspect comes. Holding the other
-// slots until it ends would shut everybody out, so the suspect goes back.
+// The upstream is busy with a long job when a suspect arrives. If the other
+// slots were kept free until the job ends, no other call would run, so the
+// suspect is refused and can go elsewhere.
 TEST(QuarantineTest, SuspectDoesNotHoldSlotsForLong) {
   SidecarRig rig(/*limit=*/2);
   rig.Deliver(rig.Call(1));
@@ -263,22 +272,22 @@
 }
 
 TEST(QuarantineTest, OrderOfNewsDoesNotMatter) {
-  const std::vector<QuarantineRecord> news = {
+  const std::vector<QuarantineRecord> records = {
       {9, 0, Standing::kSuspect, 0, "a", {"x"}},
       {9, 0, Standing::kConvicted, 0, "a", {"x", "y"}},
       {9, 1, Standing::kClear, 0, "a", {}}};
   Quarantine forward;
   Quarantine backward;
-  for (std::size_t n = 0; n < news.size(); ++n) {
-    forward.Merge(kSecond, {news[n]});
-    backward.Merge(kSecond, {news[news.size() - 1 - n]});
+  for (std::size_t n = 0; n < records.size(); ++n) {
+    forward.Merge(kSecond, {records[n]});
+    backward.Merge(kSecond, {records[records.size() - 1 - n]});
   }
   EXPECT_EQ(forward.Of(kSecond, 9), Standing::kClear);
   EXPECT_EQ(backward.Of(kSecond, 9), Standing::kClear);
 }
 
-// A pool that crashes all day must not fill the memory, and what is forgotten
-// first is what matters least.
+// A pool that crashes all day must not exhaust memory, and the least important
+// records are evicted first.
 TEST(QuarantineTest, MemoryIsBounded) {
   Quarantine quarantine;
   quarantine.Merge(kSecond, {{1, 1, Standing::kConvicted, 0, "a", {"x"}}});
@@ -291,18 +300,18 @@
             Quarantine::kMaxRecordsPerHeartbeat);
 }
 
-// A node that starts late hears of every record in turn, though a heartbeat
-// has room for few.
+// A node that starts late receives every record in rotation, though a heartbeat
+// holds only a few.
 TEST(QuarantineTest, EveryRecordIsToldInTurn) {
-  Quarantine old;
+  Quarantine sender;
   for (std::uint64_t n = 1; n <= 100; ++n) {
-    old.OnCrash(kSecond, "x", {{n, "a"}});
+    sender.OnCrash(kSecond, "x", {{n, "a"}});
   }
-  Quarantine young;
+  Quarantine receiver;
   for (int n = 0; n < 100 / 8 + 1; ++n) {
-    young.Merge(kSecond, old.Told(kSecond));
+    receiver.Merge(kSecond, sender.Told(kSecond));
   }
-  EXPECT_EQ(young.All(kSecond).size(), 100);
+  EXPECT_EQ(receiver.All(kSecond).size(), 100);
 }
 
 }  // namespace
--- a/tests/settings_net.h
+++ b/tests/settings_net.h
@@ -1,5 +1,5 @@
-// Several `SettingsSync` around one table in virtual time, with cuts, pauses
-// and outages.
+// Runs several `SettingsSync` and one table in virtual time, with partitions,
+// pauses and outages.
 #ifndef ACACIACHUTE_TESTS_SETTINGS_NET_H_
 #define ACACIACHUTE_TESTS_SETTINGS_NET_H_
 
@@ -40,24 +40,24 @@
     for (std::size_t it = 0; it < nodes_.size(); ++it) {
       peers.push_back(Name(static_cast<int>(it)));
     }
-    ++node.life;
-    node.held.clear();
+    ++node.start_count;
+    node.deferred.clear();
     node.paused = false;
     node.sync = std::make_unique<SettingsSync>(
         Name(n), peers, now, node.output.get(), node.random.get(), &metrics);
   }
   void Kill(int n) {
-    ++nodes_[n].life;
+    ++nodes_[n].start_count;
     nodes_[n].sync.reset();
   }
   bool Alive(int n) const { return nodes_[n].sync != nullptr; }
-  // A paused process handles all that came meanwhile when it wakes, and its
-  // timers after that.
+  // A paused process handles all deferred input when it resumes, and its timers
+  // after that.
   void Pause(int n, bool paused) {
     nodes_[n].paused = paused;
-    auto held = std::move(nodes_[n].held);
-    nodes_[n].held.clear();
-    for (auto& it : held) {
+    auto deferred = std::move(nodes_[n].deferred);
+    nodes_[n].deferred.clear();
+    for (auto& it : deferred) {
       it();
     }
   }
@@ -81,7 +81,8 @@
     }
   }
 
-  // An operator's change at the table; its version, or zero when refused.
+  // Makes an operator's change at the table. Returns its version, or zero if it
+  // was refused.
   SettingsVersion Change(const std::string& branch, int share) {
     SettingsChange change;
     change.branch = branch;
@@ -109,21 +110,21 @@
   FakeTable table;
   Metrics metrics;
   DurationUs table_delay = 3 * kMillisecond;
-  std::set<int> cut_from_table;
-  std::set<std::pair<int, int>> cuts;  // From, to.
-  std::uint32_t lost_percent = 0;      // Of datagrams.
+  std::set<int> disconnected_from_table;
+  std::set<std::pair<int, int>> blocked;  // Blocked connections, as (from, to).
+  std::uint32_t lost_percent = 0;  // Percentage of datagrams that are lost.
   std::function<void()> on_step;
 
-  void CutOff(int n) {
-    cut_from_table.insert(n);
+  void Isolate(int n) {
+    disconnected_from_table.insert(n);
     for (std::size_t it = 0; it < nodes_.size(); ++it) {
-      cuts.emplace(n, static_cast<int>(it));
-      cuts.emplace(static_cast<int>(it), n);
+      blocked.emplace(n, static_cast<int>(it));
+      blocked.emplace(static_cast<int>(it), n);
     }
   }
-  void Heal() {
-    cut_from_table.clear();
-    cuts.clear();
+  void Reconnect() {
+    disconnected_from_table.clear();
+    blocked.clear();
   }
 
  private:
@@ -155,41 +156,42 @@
     std::unique_ptr<Port> output;
     std::unique_ptr<Random> random;
     std::unique_ptr<SettingsSync> sync;
-    std::uint64_t life = 0;
+    std::uint64_t start_count = 0;
     bool paused = false;
     TimeUs next_tick = 0;
-    std::vector<std::function<void()>> held;
+    std::vector<std::function<void()>> deferred;
   };
 
   static int Index(const NodeId& node) {
     return std::stoi(node.substr(std::string("entry-").size()));
   }
 
-  void After(DurationUs delay, std::function<void()> task) {
+  void RunAfter(DurationUs delay, std::function<void()> task) {
     tasks_.emplace(now + delay, std::move(task));
   }
-  // Runs `task` at node `n` unless the process of that life is gone by then.
-  void AtNode(int n,
-              std::uint64_t life,
-              DurationUs delay,
-              std::function<void()> task) {
-    const auto guarded = [this, n, life, task = std::move(task)] {
-      if (nodes_[n].life == life) {
+  // Runs `task` at node `n` unless the process with that start count has
+  // stopped by then.
+  void RunAtNode(int n,
+                 std::uint64_t start_count,
+                 DurationUs delay,
+                 std::function<void()> task) {
+    const auto unless_stopped = [this, n, start_count, task = std::move(task)] {
+      if (nodes_[n].start_count == start_count) {
         task();
       }
     };
-    After(delay, [this, n, guarded] {
+    RunAfter(delay, [this, n, unless_stopped] {
       if (nodes_[n].paused) {
-        nodes_[n].held.emplace_back(guarded);
+        nodes_[n].deferred.emplace_back(unless_stopped);
       } else {
-        guarded();
+        unless_stopped();
       }
     });
   }
   void Deliver(int from, int to, bool datagram, std::function<void()> task) {
     const bool lost = datagram && random_.Below(100) < lost_percent;
-    if (!lost && !cuts.contains({from, to}) && Alive(to)) {
-      AtNode(to, nodes_[to].life, kStep, std::move(task));
+    if (!lost && !blocked.contains({from, to}) && Alive(to)) {
+      RunAtNode(to, nodes_[to].start_count, kStep, std::move(task));
     }
   }
   void SendHeartbeat(int from,
@@ -208,15 +210,16 @@
     });
   }
   void Read(int n, StoreTicket ticket, std::vector<StoreOp> ops) {
-    const bool cut = cut_from_table.contains(n);
-    const std::uint64_t life = nodes_[n].life;
-    After(table_delay / 2, [this, n, ticket, cut, life, ops = std::move(ops)] {
-      const auto answer = cut ? StoreAnswer{} : table.Transact(ops);
-      // A cut read is silent until its client gives it up.
-      AtNode(n, life, cut ? 10 * kSecond : table_delay / 2,
-             [this, n, ticket, answer] {
-               nodes_[n].sync->OnTableAnswer(now, ticket, answer);
-             });
+    const bool disconnected = disconnected_from_table.contains(n);
+    const std::uint64_t start_count = nodes_[n].start_count;
+    RunAfter(table_delay / 2, [this, n, ticket, disconnected, start_count,
+                               ops = std::move(ops)] {
+      const auto answer = disconnected ? StoreAnswer{} : table.Transact(ops);
+      // A read without a connection is unanswered until its client times out.
+      RunAtNode(n, start_count, disconnected ? 10 * kSecond : table_delay / 2,
+                [this, n, ticket, answer] {
+                  nodes_[n].sync->OnTableAnswer(now, ticket, answer);
+                });
     });
   }
 
--- a/tests/settings_sync_test.cc
+++ b/tests/settings_sync_test.cc
@@ -1,5 +1,6 @@
-// Settings reach every entry in time, never go down, and a node that cannot
-// show that it is current takes no new work.
+// Tests that settings reach every entry in time, that versions never decrease,
+// and that a node that cannot prove that its settings are in force accepts no
+// new work.
 #include "coordination/settings/settings_sync.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 namespace acaciachute {
 namespace {
 
-constexpr DurationUs kPromise = 5 * kSecond;
+constexpr DurationUs kChangeBound = 5 * kSecond;
 
 bool AllServe(const SettingsNet& net, int nodes) {
   for (int n = 0; n < nodes; ++n) {
@@ -25,19 +26,19 @@
   constexpr int kNodes = 60;
   SettingsNet net(kNodes, 1);
   ASSERT_EQ(net.Change("depot", 1), 1U);
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   EXPECT_TRUE(AllServe(net, kNodes));
   for (int round = 2; round < 10; ++round) {
     const SettingsVersion version = net.Change("depot", round);
-    net.Run(kPromise);
+    net.Run(kChangeBound);
     for (int n = 0; n < kNodes; ++n) {
       EXPECT_EQ(net.VersionAt(n, "depot"), version) << n;
     }
   }
 }
 
-// Few nodes read: three readers once a second, and now and then one more that
-// heard nothing fresh in time.
+// Few nodes read the table: three readers once a second, and occasionally one
+// more that received no recent proof in time.
 TEST(SettingsSyncTest, FewNodesReadTheTable) {
   constexpr int kNodes = 60;
   SettingsNet net(kNodes, 2);
@@ -50,14 +51,14 @@
   EXPECT_LT(reads, 60U * kNodes / 4);
 }
 
-// The platform is down for an hour. Each node hears from a majority that nobody
-// has anything newer, so all go on; the change made after the outage
-// is everywhere in time.
+// The platform is down for an hour. Each node learns from a majority that none
+// has a newer version, so all continue; the change made after the outage
+// reaches all nodes in time.
 TEST(SettingsSyncTest, HourOfOutageStopsNobody) {
   constexpr int kNodes = 5;
   SettingsNet net(kNodes, 3);
   net.Change("depot", 1);
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   net.table.down = true;
   bool all = true;
   net.on_step = [&] { all = all && AllServe(net, kNodes); };
@@ -65,23 +66,23 @@
   EXPECT_TRUE(all);
   net.table.down = false;
   net.Change("depot", 2);
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   EXPECT_TRUE(all);
   for (int n = 0; n < kNodes; ++n) {
     EXPECT_EQ(net.VersionAt(n, "depot"), 2U);
   }
 }
 
-// The outage shows as silence instead of refusals, with a fifth of all
-// datagrams lost. Nothing waits for the silent reads to end.
+// During the outage reads are not answered instead of refused, and a fifth of
+// all datagrams is lost. No node waits for the unanswered reads to end.
 TEST(SettingsSyncTest, SilentOutageWithLossStopsNobody) {
   constexpr int kNodes = 5;
   SettingsNet net(kNodes, 4);
   net.Change("depot", 1);
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   net.lost_percent = 20;
   for (int n = 0; n < kNodes; ++n) {
-    net.cut_from_table.insert(n);
+    net.disconnected_from_table.insert(n);
   }
   bool all = true;
   net.on_step = [&] { all = all && AllServe(net, kNodes); };
@@ -89,88 +90,88 @@
   EXPECT_TRUE(all);
 }
 
-// One node loses both the table and its peers, and a change is accepted. It
-// cannot tell that from an outage by itself; alone it is no majority, so it
-// stops taking work before five seconds are over, and takes it again, under the
-// new version, once it is heard.
+// One node loses the table and its peers, and a change is accepted. The node
+// cannot distinguish that from an outage; alone it is not a majority, so it
+// stops accepting work within five seconds, and accepts it again, under the new
+// version, once it is reconnected.
 TEST(SettingsSyncTest, CutNodeStopsBeforeThePromiseBreaks) {
   SettingsNet net(3, 5);
   net.Change("depot", 1);
-  net.Run(kPromise);
-  net.CutOff(2);
+  net.Run(kChangeBound);
+  net.Isolate(2);
   net.Run(500 * kMillisecond);
   net.Change("depot", 2);
   const TimeUs accepted = net.now;
   net.on_step = [&] {
     const bool old = net.Serves(2) && net.VersionAt(2, "depot") < 2;
-    EXPECT_FALSE(old && net.now > accepted + kPromise);
+    EXPECT_FALSE(old && net.now > accepted + kChangeBound);
   };
   net.Run(60 * kSecond);
   EXPECT_FALSE(net.Serves(2));
   EXPECT_TRUE(net.Serves(0) && net.Serves(1));
-  net.Heal();
-  net.Run(kPromise);
+  net.Reconnect();
+  net.Run(kChangeBound);
   EXPECT_TRUE(net.Serves(2));
   EXPECT_EQ(net.VersionAt(2, "depot"), 2U);
 }
 
-// A minority loses the table and the others, but not one another. Two of five
-// that agree are no majority: they stop as well.
+// A minority loses the table and the other nodes, but not one another. Two of
+// five that agree are no majority: they stop as well.
 TEST(SettingsSyncTest, CutMinorityIsNoOutage) {
   SettingsNet net(5, 6);
   net.Change("depot", 1);
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   for (int a : {3, 4}) {
-    net.cut_from_table.insert(a);
+    net.disconnected_from_table.insert(a);
     for (int b : {0, 1, 2}) {
-      net.cuts.emplace(a, b);
-      net.cuts.emplace(b, a);
+      net.blocked.emplace(a, b);
+      net.blocked.emplace(b, a);
     }
   }
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   EXPECT_FALSE(net.Serves(3) || net.Serves(4));
   EXPECT_TRUE(net.Serves(0) && net.Serves(1) && net.Serves(2));
 }
 
-// A process sleeps for a minute while versions change. Answers to its old
-// questions wait in its sockets and are handled first on waking; they prove
-// nothing, because their age counts from when it asked.
+// A process is suspended for a minute while versions change. Answers to its old
+// requests wait in its sockets and are handled first when it resumes; they are
+// no proof, because their age counts from when the request was sent.
 TEST(SettingsSyncTest, PausedNodeWakesWithoutServingOldSettings) {
   for (int offset = 0; offset < 40; ++offset) {
     SettingsNet net(3, 7);
     net.Change("depot", 1);
-    net.Run(kPromise + offset * SettingsNet::kStep);
+    net.Run(kChangeBound + offset * SettingsNet::kStep);
     net.Pause(1, true);
     net.Run(60 * kSecond);
     net.Change("depot", 2);
-    net.Run(kPromise);
+    net.Run(kChangeBound);
     net.Pause(1, false);
     EXPECT_TRUE(!net.Serves(1) || net.VersionAt(1, "depot") == 2U) << offset;
     net.on_step = [&] {
       EXPECT_TRUE(!net.Serves(1) || net.VersionAt(1, "depot") == 2U);
     };
-    net.Run(kPromise);
+    net.Run(kChangeBound);
     EXPECT_TRUE(net.Serves(1));
   }
 }
 
-// Entries 0 and 2 hold version 2; entry 1 was cut off and has version 1. Then 0
-// restarts and reaches only 1. Both agree on version 1, but 0 has forgotten
-// what it held and counts for nothing: neither may serve, or the accepted
-// change would revert where it was already served.
+// Entries 0 and 2 have version 2; entry 1 was disconnected and has version 1.
+// Then 0 restarts and reaches only 1. Both agree on version 1, but 0 has lost
+// its state and does not count as a witness: neither may serve, or the accepted
+// change would be reverted where it was already served.
 TEST(SettingsSyncTest, RestartedWitnessDoesNotMakeUpAMajority) {
   SettingsNet net(3, 10);
   net.Change("depot", 1);
-  net.Run(kPromise);
-  net.CutOff(1);
+  net.Run(kChangeBound);
+  net.Isolate(1);
   net.Change("depot", 2);
   net.Run(2 * kSecond);
   ASSERT_EQ(net.VersionAt(0, "depot"), 2U);
   ASSERT_EQ(net.VersionAt(2, "depot"), 2U);
   net.Kill(0);
-  net.Heal();
-  net.CutOff(2);
-  net.cut_from_table = {0, 1};
+  net.Reconnect();
+  net.Isolate(2);
+  net.disconnected_from_table = {0, 1};
   net.Start(0);
   net.on_step = [&] { EXPECT_FALSE(net.Serves(0)); };
   net.Run(60 * kSecond);
@@ -178,29 +179,29 @@
   EXPECT_FALSE(net.Serves(1));
 }
 
-// A process starts with nothing while the platform is down; its peers give it
-// the tree and, with it, a majority that has nothing newer.
+// A process starts without settings while the platform is down; its peers send
+// it the tree, and confirm as a majority that none has a newer version.
 TEST(SettingsSyncTest, NodeJoinsDuringAnOutage) {
   SettingsNet net(3, 8);
   net.Change("depot", 1);
   net.Change("office", 1);
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   net.Kill(2);
   net.table.down = true;
   net.Run(60 * kSecond);
   net.Start(2);
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   EXPECT_TRUE(net.Serves(2));
   EXPECT_EQ(net.VersionAt(2, "office"), 1U);
 }
 
-// Entries restart in turn while operators change branches. What a successor
-// serves under is never older than what its predecessor served under.
+// Entries restart in turn while operators change branches. A restarted entry
+// never serves under an older version than before its restart.
 TEST(SettingsSyncTest, RestartsInTurnNeverGoBack) {
   constexpr int kNodes = 4;
   SettingsNet net(kNodes, 9);
   net.Change("depot", 1);
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   std::vector<SettingsVersion> served(kNodes, 0);
   net.on_step = [&] {
     for (int n = 0; n < kNodes; ++n) {
@@ -219,19 +220,20 @@
     net.Start(n % kNodes);
     net.Run(kSecond);
   }
-  net.Run(kPromise);
+  net.Run(kChangeBound);
   EXPECT_TRUE(AllServe(net, kNodes));
 }
 
-// Whatever happens in whatever order, the version that a request would see at
-// a node never goes down, and none is served 5 s after a newer one was taken by
-// the table, unless the table was down before a majority could read it.
+// Whatever happens in any order, the version that a request would be served
+// under at a node never decreases, and no version is served 5 s after the table
+// accepted a newer one, unless the table was down before a majority could read
+// it.
 TEST(SettingsSyncProperty, VersionsNeverGoDown) {
   constexpr int kNodes = 3;
   CheckProperty("versions never go down", 20261202, 100, [] {
     SettingsNet net(kNodes, *rc::gen::arbitrary<std::uint32_t>());
     net.Change("depot", 1);
-    net.Run(kPromise);
+    net.Run(kChangeBound);
     std::vector<SettingsVersion> served(kNodes, 0);
     std::map<SettingsVersion, TimeUs> accepted;
     bool down = false;
@@ -246,7 +248,7 @@
         served[n] = version;
         const auto newer = accepted.upper_bound(version);
         RC_ASSERT(ever_down || newer == accepted.end() ||
-                  net.now <= newer->second + kPromise);
+                  net.now <= newer->second + kChangeBound);
       }
     };
     const auto steps = *rc::gen::container<std::vector<int>>(
@@ -267,10 +269,10 @@
           }
           break;
         case 2:
-          net.CutOff(n);
+          net.Isolate(n);
           break;
         case 3:
-          net.Heal();
+          net.Reconnect();
           break;
         case 4:
           net.Pause(n, true);
--- a/tests/sidecar_rig.h
+++ b/tests/sidecar_rig.h
@@ -1,4 +1,5 @@
-// One `Sidecar` core between a recording output and a hand-driven upstream.
+// Test rig: one `Sidecar` core, a recording output and an upstream controlled
+// by the test.
 #ifndef ACACIACHUTE_TESTS_SIDECAR_RIG_H_
 #define ACACIACHUTE_TESTS_SIDECAR_RIG_H_
 
@@ -44,7 +45,7 @@
   void CheckUpstream() override { ++checks; }
   void Export(const Span& span) override {}
 
-  // A call that the entry sends now, with `time_left`.
+  // Makes a call that the entry sends now, with `time_left`.
   StageCall Call(std::uint64_t request,
                  DurationUs time_left = 5 * kSecond) const {
     StageCall call;
@@ -55,7 +56,7 @@
     call.body = "{}";
     return call;
   }
-  // A call that was in progress when another upstream died.
+  // Makes a call that was in progress when another upstream crashed.
   StageCall Suspect(std::uint64_t request) const {
     StageCall call = Call(request);
     call.fingerprint = 1000 + request;
@@ -81,7 +82,7 @@
   void Answer(std::size_t n) {
     core.OnUpstreamChunk(now, ids.at(n), "{}", true);
   }
-  // Lets time pass with the ticks that the core asks for.
+  // Advances time and runs the ticks that the core requests.
   void Pass(DurationUs duration) {
     const TimeUs end = now + duration;
     while (core.NextWakeup() <= end) {
--- a/tests/sidecar_test.cc
+++ b/tests/sidecar_test.cc
@@ -1,4 +1,5 @@
-// The last guard before an upstream: duplicates, cancels, deadlines, pauses.
+// Tests of the last check before an upstream: duplicates, cancellations,
+// deadlines and suspensions.
 #include <gtest/gtest.h>
 
 #include "coordination/membership/message_age.h"
@@ -8,9 +9,9 @@
 namespace acaciachute {
 namespace {
 
-// The caller was told "not run" because its queued call was cancelled. A second
-// copy of the call, delayed in the network, comes when the slot is free. Run
-// then, the answer already given would be false.
+// The caller was answered "not run" because its queued call was cancelled. A
+// second copy of the call, delayed in the network, arrives when the slot is
+// free. If it ran, the answer already given would be false.
 TEST(SidecarTest, LateCopyAfterCancelNeverRuns) {
   SidecarRig rig;
   const StageCall first = rig.Call(1);
@@ -25,8 +26,8 @@
   EXPECT_EQ(rig.started.size(), 1);
 }
 
-// The cancel overtakes its call on another connection. The caller has its
-// answer; the call must find that nobody waits.
+// The cancellation overtakes its call on another connection. The caller has its
+// answer, so the call must not run.
 TEST(SidecarTest, CallAfterItsCancelNeverRuns) {
   SidecarRig rig;
   const StageCall call = rig.Call(1);
@@ -37,8 +38,8 @@
 }
 
 // The queue is full and the call is refused with "not run"; the entry sends the
-// stage elsewhere. The network delivers a second copy when there is room.
-// Without a tombstone for refused calls the stage runs twice.
+// stage elsewhere. The network delivers a second copy when there is capacity.
+// Without a tombstone for refused calls the stage would run twice.
 TEST(SidecarTest, CopyOfRefusedCallNeverRuns) {
   SidecarOptions options = SidecarRig::Options(1);
   options.max_queued = 1;
@@ -55,8 +56,8 @@
   EXPECT_EQ(rig.started.size(), 2);
 }
 
-// The sidecar was replaced while a call was on its way. The successor cannot
-// know what ran before it, so it neither runs the call nor says "not run".
+// The sidecar was replaced while a call was in flight. The new process does not
+// know what ran before it, so it neither runs the call nor answers "not run".
 TEST(SidecarTest, CallForPredecessorMayHaveRun) {
   SidecarRig rig;
   StageCall call = rig.Call(1);
@@ -68,9 +69,9 @@
   EXPECT_EQ(rig.failures[0].sidecar, call.sidecar);
 }
 
-// The sidecar is paused for a minute with a call in its socket's buffer. The
+// The sidecar is suspended for a minute with a call in its socket buffer. The
 // caller was answered long ago, yet the call still says "five seconds left".
-// Its sender's clock gives its age away.
+// Its age is detected by the sender's clock.
 TEST(SidecarTest, CallFromBeforePauseIsLate) {
   SidecarRig rig;
   rig.EntrySays(false);
@@ -83,8 +84,8 @@
   EXPECT_EQ(rig.failures[0].reason, Refusal::kLate);
 }
 
-// A shorter pause eats only part of the time left: the call runs, but ends at
-// its caller's deadline and not five seconds after the pause.
+// A shorter suspension uses up only part of the time left: the call runs, but
+// ends at its caller's deadline and not five seconds after the suspension.
 TEST(SidecarTest, PauseCountsAgainstTimeLeft) {
   SidecarRig rig;
   rig.EntrySays(false);
@@ -98,8 +99,8 @@
   EXPECT_EQ(rig.cancelled.size(), 1);
 }
 
-// Long after its tombstone is gone a copy of an answered call arrives. Only its
-// age can tell.
+// A copy of an answered call arrives long after its tombstone has expired. Only
+// its age shows that it is a copy.
 TEST(SidecarTest, CopyAfterTombstoneIsLate) {
   SidecarRig rig;
   rig.EntrySays(false);
@@ -113,9 +114,9 @@
   EXPECT_EQ(rig.failures[0].reason, Refusal::kLate);
 }
 
-// A call waits while the sidecar is paused past its deadline. On wake-up the
-// upstream's answer to another call is handled first and frees the slot. The
-// waiting call must not take it.
+// A call waits while the sidecar is suspended past its deadline. When it
+// resumes, the upstream's answer to another call is handled first and frees the
+// slot. The waiting call must not take it.
 TEST(SidecarTest, WaitingCallIsLateAfterPauseWhateverComesFirst) {
   SidecarRig rig;
   rig.Deliver(rig.Call(1, 60 * kSecond));
@@ -128,8 +129,9 @@
   EXPECT_EQ(rig.failures[0].verdict, Verdict::kNotRun);
 }
 
-// The upstream hangs. The caller is told at the deadline that the call may have
-// run, the idempotent call is stopped and its slot serves the next one.
+// The upstream does not answer. The caller is answered at the deadline that the
+// call may have run, the idempotent call is cancelled and its slot serves the
+// next one.
 TEST(SidecarTest, HangingCallEndsAtItsDeadline) {
   SidecarRig rig;
   rig.Deliver(rig.Call(1, kSecond));
@@ -142,9 +144,9 @@
   EXPECT_EQ(rig.started.size(), 2);
 }
 
-// An order that may not be repeated outlasts its deadline. Cutting it could
-// leave it half done, so it keeps its slot until the upstream answers; a
-// sidecar that forgot the slot would overload the upstream.
+// A non-idempotent order runs past its deadline. An interruption could leave it
+// half done, so it keeps its slot until the upstream answers; a sidecar that
+// freed the slot would overload the upstream.
 TEST(SidecarTest, OrderPastItsDeadlineIsNotCutAndKeepsItsSlot) {
   SidecarRig rig;
   StageCall order = rig.Call(1, kSecond);
@@ -162,7 +164,7 @@
   EXPECT_EQ(rig.started.size(), 2);
 }
 
-// The upstream loses an order for good. Its slot comes back in the end.
+// The upstream never answers an order. Its slot is freed after a maximum time.
 TEST(SidecarTest, LostOrderGivesItsSlotBack) {
   SidecarRig rig;
   StageCall order = rig.Call(1, kSecond);
@@ -173,8 +175,8 @@
   EXPECT_EQ(rig.core.InProgress(), 0);
 }
 
-// The caller gave up and was answered; what the upstream says afterwards
-// belongs to nobody.
+// The caller cancelled and was answered; the upstream's later answer is
+// dropped.
 TEST(SidecarTest, AnswerAfterCancelIsDropped) {
   SidecarRig rig;
   const StageCall call = rig.Call(1);
@@ -188,8 +190,9 @@
   EXPECT_EQ(rig.failures.size(), 1);
 }
 
-// The upstream falls silent. Its last word ages; what waits goes back with "not
-// run" so that it can run elsewhere, and nothing new is taken until it speaks.
+// The upstream does not answer status requests. Its last report expires;
+// waiting calls are refused with "not run" so that they can run elsewhere, and
+// no new call is accepted until the next report.
 TEST(SidecarTest, SilentUpstreamIsGivenNothingNew) {
   SidecarRig rig;
   rig.Report();
@@ -209,7 +212,7 @@
 }
 
 TEST(TombstonesTest, MemoryIsBoundedAndTheDroppedOnesAreStillNotRun) {
-  Tombstones tombstones(/*most=*/100);
+  Tombstones tombstones(/*max_tombstones=*/100);
   for (std::uint64_t n = 1; n <= 1000; ++n) {
     tombstones.Add({{1, n}, 0, 1}, static_cast<TimeUs>(n) * kSecond);
   }
@@ -223,8 +226,8 @@
   EXPECT_FALSE(tombstones.MayBeEvicted({{1, 5}, 0, 1}));
 }
 
-// Failure: a call's tombstone was dropped for want of room and a copy comes.
-// The sidecar cannot tell it from a new call, so it says that it may have run.
+// A call's tombstone was evicted and a copy arrives. The sidecar cannot
+// distinguish it from a new call, so it answers that it may have run.
 TEST(SidecarTest, CopyWithDroppedTombstoneMayHaveRun) {
   SidecarRig rig;
   const StageCall call = rig.Call(1);
@@ -242,7 +245,7 @@
 }
 
 // Clocks that drift apart by NTP's limit of 500 ppm for a day must not make
-// fresh messages look old.
+// recent messages appear old.
 TEST(MessageAgeTest, DriftStaysWithinItsBound) {
   MessageAge ages;
   DurationUs oldest = 0;
@@ -253,18 +256,18 @@
   EXPECT_LE(oldest, 61 * kMillisecond);
 }
 
-// A pause of 100 s is followed by 300 heartbeats that the kernel kept. None of
-// them may become the new measure of a fresh message.
+// After a suspension of 100 s, 300 heartbeats from the kernel's buffers are
+// handled. None of them may become the new reference for the age of a message.
 TEST(MessageAgeTest, BacklogOfPauseDoesNotMoveTheBase) {
   MessageAge ages;
   for (TimeUs at = kSecond; at < 100 * kSecond; at += 200 * kMillisecond) {
     ages.Of(1, at, at);
   }
-  const TimeUs woken = 200 * kSecond;
+  const TimeUs resumed_at = 200 * kSecond;
   for (int n = 0; n < 300; ++n) {
-    ages.Of(1, 100 * kSecond + n * 200 * kMillisecond, woken);
+    ages.Of(1, 100 * kSecond + n * 200 * kMillisecond, resumed_at);
   }
-  EXPECT_EQ(ages.Of(1, 110 * kSecond, woken), 90 * kSecond);
+  EXPECT_EQ(ages.Of(1, 110 * kSecond, resumed_at), 90 * kSecond);
 }
 
 }  // namespace
