--- a/src/coordination/control/lease.cc
+++ b/src/coordination/control/lease.cc
@@ -43,7 +43,7 @@
 
 DurationUs Lease::WatchPeriod() const {
   const DurationUs period =
-      rank_ < kCandidates ? kWatchPeriod : kStandbyWatchPeriod;
+      rank_ < kActiveCandidates ? kWatchPeriod : kStandbyWatchPeriod;
   return period * 3 / 4 + static_cast<DurationUs>(random_->Below(period / 2));
 }
 
@@ -114,7 +114,7 @@
 
 // Time at which the row will have been unchanged for long enough to take over.
 TimeUs Lease::TakeOverTime() const {
-  const auto rank = static_cast<DurationUs>(std::min(rank_, kCandidates));
+  const auto rank = static_cast<DurationUs>(std::min(rank_, kActiveCandidates));
   return *observed_since_ + (observed_.holder.empty() ? 0 : kLeaseDuration) +
          rank * kRankDelay + kMillisecond;
 }
--- a/src/coordination/control/lease.h
+++ b/src/coordination/control/lease.h
@@ -61,7 +61,7 @@
   // Number of entries, by rank for a pool, that read its row every
   // `kWatchPeriod`. The others read it every `kStandbyWatchPeriod`, in case all
   // of those have stopped.
-  static constexpr std::size_t kCandidates = 3;
+  static constexpr std::size_t kActiveCandidates = 3;
   static constexpr DurationUs kWatchPeriod = 2 * kSecond;
   static constexpr DurationUs kStandbyWatchPeriod = 30 * kSecond;
   static constexpr DurationUs kRetryDelay = 300 * kMillisecond;
--- a/src/coordination/interface/breaker.h
+++ b/src/coordination/interface/breaker.h
@@ -68,12 +68,11 @@
   Random* const random_;
   // Calls in progress, with their start times.
   std::map<std::uint64_t, TimeUs> calls_;
-  int consecutive_failures_ = 0;  // Consecutive failed calls.
+  int consecutive_failures_ = 0;
   TimeUs first_failure_ = 0;
   TimeUs last_answer_ = 0;
   TimeUs next_probe_ = 0;
-  DurationUs mean_answer_time_ =
-      0;  // Exponential moving average of answer times.
+  DurationUs mean_answer_time_ = 0;  // Exponential moving average.
   int limit_ = kMaxConcurrentCalls;
 };
 
--- a/src/coordination/interface/claim_batch.cc
+++ b/src/coordination/interface/claim_batch.cc
@@ -48,25 +48,25 @@
 // both pass. The second one stays in the queue.
 ClaimBatch::Items ClaimBatch::TakeItems() {
   Items items;
-  std::deque<Item> later;
+  std::deque<Item> deferred;
   std::set<std::string> keys;
   std::size_t bytes = 0;
-  while (!queue_.empty() && items.size() < kMaxOps) {
+  while (!queue_.empty() && items.size() < kMaxOpsPerTransaction) {
     Item item = std::move(queue_.front());
     queue_.pop_front();
     bytes += item.op.key.size() + item.op.value.size();
-    if (bytes > kMaxBytes && !items.empty()) {
+    if (bytes > kMaxBytesPerTransaction && !items.empty()) {
       queue_.push_front(std::move(item));
       break;
     }
     if (item.op.kind == StoreOpKind::kRead || keys.insert(item.op.key).second) {
       items.push_back(std::move(item));
     } else {
-      later.push_back(std::move(item));
+      deferred.push_back(std::move(item));
     }
   }
-  queue_.insert(queue_.begin(), std::make_move_iterator(later.begin()),
-                std::make_move_iterator(later.end()));
+  queue_.insert(queue_.begin(), std::make_move_iterator(deferred.begin()),
+                std::make_move_iterator(deferred.end()));
   return items;
 }
 
--- a/src/coordination/interface/claim_batch.h
+++ b/src/coordination/interface/claim_batch.h
@@ -35,10 +35,10 @@
   // Maximum number of transactions in flight; more would only queue at the
   // table.
   static constexpr int kMaxInFlight = 4;
-  static constexpr std::size_t kMaxOps = 256;
-  // Maximum size of the values in one transaction; docs/PLATFORM.md gives the
-  // table's own limit.
-  static constexpr std::size_t kMaxBytes = 2 << 20;
+  static constexpr std::size_t kMaxOpsPerTransaction = 256;
+  // Maximum size of the keys and values in one transaction; docs/PLATFORM.md
+  // gives the table's own limit.
+  static constexpr std::size_t kMaxBytesPerTransaction = 2 << 20;
 
   // `rate` is this entry's share of the table's transactions per second.
   ClaimBatch(StoreCalls* calls, Metrics* metrics, double rate);
@@ -65,7 +65,7 @@
   Metrics* const metrics_;
   const DurationUs period_;  // Interval between transactions at the full rate.
   // Earliest time of the next transaction under the rate limit; unused
-  // transactions accumulate up to `kBurst`.
+  // transactions accumulate up to `kMaxBurstTransactions`.
   TimeUs next_at_ = 0;
   int in_flight_ = 0;
   std::deque<Item> queue_;
--- a/src/coordination/settings/settings_sync.cc
+++ b/src/coordination/settings/settings_sync.cc
@@ -65,7 +65,7 @@
 }
 
 void SettingsSync::Read(TimeUs now) {
-  next_read_ = now + Jittered(random_, kReadPeriod);
+  next_read_ = now + Jittered(random_, kTableReadPeriod);
   const StoreTicket ticket = next_ticket_++;
   reads_[ticket] = now;
   std::vector<StoreOp> ops = {
@@ -196,7 +196,7 @@
 
 void SettingsSync::Gossip(TimeUs now) {
   std::vector<NodeId> candidates = Peers();
-  for (std::size_t n = 0; n < kFanout && !candidates.empty(); ++n) {
+  for (std::size_t n = 0; n < kGossipFanout && !candidates.empty(); ++n) {
     std::swap(candidates[random_->Below(candidates.size())], candidates.back());
     const std::uint64_t sequence = next_sequence_++;
     gossip_requests_[sequence] = {candidates.back(), now};
--- a/src/coordination/settings/settings_sync.h
+++ b/src/coordination/settings/settings_sync.h
@@ -68,7 +68,7 @@
   // which a request that was just admitted is sent to the upstream.
   static constexpr DurationUs kCurrencyBound = 4500 * kMillisecond;
   static constexpr int kReaders = 3;
-  static constexpr DurationUs kReadPeriod = kSecond;
+  static constexpr DurationUs kTableReadPeriod = kSecond;
   // Minimum age of the proof, plus a random addition of up to the same length,
   // after which an entry reads the table itself; twice this age and a read
   // still fit into the limit.
@@ -86,7 +86,7 @@
   // Two requests of 170 bytes per 300 ms, and as many answers of 280 bytes,
   // make 3 KB/s per node.
   static constexpr DurationUs kGossipPeriod = 300 * kMillisecond;
-  static constexpr std::size_t kFanout = 2;
+  static constexpr std::size_t kGossipFanout = 2;
   static constexpr DurationUs kPullTimeout = kSecond;
   static constexpr std::size_t kMaxPullsInProgress = 2;
   static constexpr std::size_t kMaxPullPartBytes = 1 << 20;
--- a/src/coordination/settings/settings_write.h
+++ b/src/coordination/settings/settings_write.h
@@ -121,8 +121,8 @@
 
   SettingsChange change_;
   const std::uint64_t nonce_;
-  bool write_due_ =
-      false;  // The read is done; the next transaction is the write.
+  // The read is done; the next transaction is the write.
+  bool write_due_ = false;
   bool may_be_applied_ = false;
   int attempts_ = 0;
   SettingsVersion base_ = 0;
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -47,7 +47,7 @@
   EXPECT_EQ(DecodeClaim(EncodeClaim(claim))->answer, claim.answer);
 }
 
-TEST(ClaimTest, NoTwoKeysMeetInOneRow) {
+TEST(ClaimTest, DifferentKeysHaveDifferentRows) {
   EXPECT_NE(ClaimRowKey("a", "b/c"), ClaimRowKey("a/b", "c"));
   EXPECT_NE(ClaimRowKey("a", "\xff"), ClaimRowKey("a", "\xfe"));
   EXPECT_NE(ClaimRowKey("a", "%FF"), ClaimRowKey("a", "\xff"));
@@ -130,7 +130,7 @@
 // after the caller was answered "not run". The outcome "refused" is written to
 // the row, so that the late claim neither runs nor blocks the key: the resent
 // request runs once.
-TEST(ClaimsTest, ClaimThatLandsLateIsSettledAsRefused) {
+TEST(ClaimsTest, LateClaimIsMarkedRefused) {
   CoreDriver driver(TwoEntries());
   driver.store_fault = FaultFor(3, StoreFault::kLandLate);
   const auto refused = driver.Ask(0, CoreDriver::MakeOnce("k", R"("late")"));
@@ -210,7 +210,7 @@
 // row is marked refused. If it disconnects while the order runs, the order is
 // finished and its answer stored, because the caller could otherwise not learn
 // the outcome.
-TEST(ClaimsTest, HangUpBeforeAndAfterTheClaim) {
+TEST(ClaimsTest, DisconnectBeforeAndAfterTheClaim) {
   CoreDriver driver({});
   const auto cancelled_early =
       driver.Ask(0, CoreDriver::MakeOnce("k1", R"("early")"));
--- a/tests/core_path_test.cc
+++ b/tests/core_path_test.cc
@@ -45,7 +45,7 @@
 // reading its row. The first copy may have run elsewhere, so the refusal says
 // that it is about this copy only and that a retry is safe only under the same
 // key.
-TEST(CorePathTest, RefusedCopyOfAnOrderSaysThatItSpeaksForItself) {
+TEST(CorePathTest, RefusalOfACopyIsAboutThatCopyOnly) {
   CoreDriver driver({});
   driver.entry(0).Leave();
   const auto order = driver.Ask(0, CoreDriver::MakeOnce("k", R"("e")"));
--- a/tests/currency_test.cc
+++ b/tests/currency_test.cc
@@ -37,7 +37,7 @@
 // caller is answered at once that the request was not run and when to retry; no
 // claim is written, because the account or the event may have changed. Once the
 // settings are current, the entry accepts the request.
-TEST(CurrencyTest, RequestIsRefusedUntilTheEntryIsCurrent) {
+TEST(SettingsFreshnessTest, RequestIsRefusedUntilTheEntryIsCurrent) {
   FixedSettingsFreshness freshness;
   freshness.current_from = 10 * kSecond;
   RecordingOutput output;
--- a/tests/differential_test.cc
+++ b/tests/differential_test.cc
@@ -326,7 +326,7 @@
 // lost, late and duplicated, and callers resend. On these schedules the naive
 // version loses, duplicates and misdelivers; on the same ones the production
 // core does none of it.
-TEST(DifferentialTest, RealCoreHoldsWhereTheNaiveOneFails) {
+TEST(DifferentialTest, ProductionCoreHasNoViolationsWhereNaiveHas) {
   Violations real;
   Violations naive;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
--- a/tests/fence_test.cc
+++ b/tests/fence_test.cc
@@ -102,7 +102,7 @@
 // not yet sent an order here. The first resumes and sends its order. The
 // sidecar never received the second one's number, but the row has it, and the
 // old order is refused with the number in force.
-TEST_P(FenceTest, WokenHolderIsRefusedBeforeItsSuccessorSpoke) {
+TEST_P(FenceTest, ResumedHolderIsRefusedBeforeItsSuccessorsFirstOrder) {
   Rig rig(GetParam());
   rig.row = 2;
   EXPECT_EQ(rig.Send(rig.Make("a", 2)), Refusal::kNone);
@@ -114,7 +114,7 @@
 
 // As above, with the sidecar replaced in between: the new process has received
 // no number before the old order arrives.
-TEST_P(FenceTest, ReplacedSidecarKnowsTheNumber) {
+TEST_P(FenceTest, ReplacedSidecarReadsTheNumber) {
   Rig rig(GetParam());
   rig.row = 3;
   EXPECT_EQ(rig.Send(rig.Make("a", 3)), Refusal::kNone);
--- a/tests/lease_test.cc
+++ b/tests/lease_test.cc
@@ -161,7 +161,7 @@
 // The holder is suspended beyond its lease and resumes. By its own clock its
 // lease ended before the successor's began, so it sends no order; its renewal
 // finds the other's row, and it becomes a candidate again.
-TEST(LeaseTest, PausedHolderWakesWithoutTheLease) {
+TEST(LeaseTest, PausedHolderResumesWithoutTheLease) {
   LeaseNet net(2, 3);
   net.Run(2 * kSecond);
   ASSERT_TRUE(net.Holds(0));
@@ -180,7 +180,7 @@
 // before the row has been unchanged for a lease duration. The answer confirms
 // the lease, but from a write nine seconds ago: counted from its arrival, two
 // entries would hold it.
-TEST(LeaseTest, AnswerReadLateProvesNoMoreThanInTime) {
+TEST(LeaseTest, LateAnswerDoesNotExtendTheLease) {
   for (int offset = 0; offset < 60; ++offset) {
     LeaseNet net(2, 7);
     net.Run(3 * kSecond + offset * LeaseNet::kStep);
@@ -224,7 +224,7 @@
   EXPECT_EQ(net.Holders(), 1);
 }
 
-TEST(LeaseTest, ReleaseNeedsNoWaiting) {
+TEST(LeaseTest, ReleasedLeaseIsTakenOverAtOnce) {
   LeaseNet net(2, 6);
   net.Run(2 * kSecond);
   net.lease(0).Release();
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -79,7 +79,7 @@
 
 // No route reports that the upstream leaves: its host is removed and its status
 // reports stop. Calls then start only up to the maximum age of the last report.
-TEST(LeavingTest, SilenceAlone) {
+TEST(LeavingTest, MissingReportsAlone) {
   SidecarRig rig(/*limit=*/4);
   rig.Report();
   const TimeUs last = rig.now;
@@ -97,7 +97,7 @@
 
 // The age of a report that took a second to arrive counts from its request, so
 // a slow answer does not extend the limit.
-TEST(LeavingTest, ReportCountsFromItsQuestion) {
+TEST(LeavingTest, ReportAgeCountsFromItsRequest) {
   Leaving leaving;
   leaving.OnReport(/*requested_at=*/kSecond, /*reachable=*/true);
   EXPECT_TRUE(leaving.IsReachable(3 * kSecond - 1));
@@ -107,7 +107,7 @@
 // One entry knows that the upstream leaves and another does not. The reports of
 // the other, five times a second, must not revoke that of the first; it expires
 // when it is not repeated.
-TEST(LeavingTest, EntriesDoNotOutvoteOneThatHeard) {
+TEST(LeavingTest, EntryWithAnOutdatedListDoesNotRevoke) {
   Leaving leaving;
   leaving.OnLeaveReport(kSecond, LeaveRoute::kEntry, true);
   leaving.OnLeaveReport(2 * kSecond, LeaveRoute::kEntry, false);
@@ -118,7 +118,7 @@
 // The sidecar resumes from a suspension in which the upstream began to leave. A
 // call that was just sent is handled before any status report; the last report
 // is too old, so the call is refused.
-TEST(LeavingTest, WakingSidecarDoesNotGoByAnOldReport) {
+TEST(LeavingTest, ResumedSidecarIgnoresAnOutdatedReport) {
   SidecarRig rig;
   rig.Report();
   rig.now += 10 * kSecond;
@@ -130,7 +130,7 @@
 
 // SIGTERM under load: running calls are finished and their answers sent,
 // waiting calls are refused with "not run", and the process may then end.
-TEST(LeavingTest, ShutdownUnderLoadCutsNothing) {
+TEST(LeavingTest, ShutdownUnderLoadInterruptsNoCall) {
   SidecarRig rig(/*limit=*/4);
   for (std::uint64_t n = 1; n <= 20; ++n) {
     rig.Deliver(rig.Call(n));
--- a/tests/pairs_test.cc
+++ b/tests/pairs_test.cc
@@ -212,7 +212,7 @@
 // killed at some moment, with what it knows of the crash; its caller goes to
 // the next entry. The pool of nine loses few replicas, whenever the entry is
 // killed, and the last resent request is refused with its reason.
-TEST(PairsTest, PoisonAndFailover) {
+TEST(PairsTest, CrashingRequestAndFailover) {
   constexpr int kPoolEntries = 4;
   constexpr int kSends = 12;
   int max_crashes = 0;
--- a/tests/pipeline_test.cc
+++ b/tests/pipeline_test.cc
@@ -218,7 +218,7 @@
 // The caller disconnects while an attempt is in progress: the attempt is
 // cancelled through to the upstream, so that no work continues without a
 // caller.
-TEST(PipelineTest, HangUpCancelsThroughToTheUpstream) {
+TEST(PipelineTest, DisconnectCancelsThroughToTheUpstream) {
   CoreDriver driver(TwoGenerators());
   driver.service_time = [](const NodeId&, const StageCall&) { return kSecond; };
   const auto handle = driver.Ask(0, CoreDriver::MakeRequest(R"("h")"));
--- a/tests/platform_client_test.cc
+++ b/tests/platform_client_test.cc
@@ -31,7 +31,7 @@
 // The platform refuses all calls for an hour. After half a second claims are
 // refused without a call, and only probe calls are made, at most two a second;
 // the first answer ends the down state.
-TEST_F(PlatformClientTest, DownIsNoticedAndLeft) {
+TEST_F(PlatformClientTest, DownIsDetectedAndEnded) {
   int made = 0;
   for (int n = 0; n < 36000; ++n) {
     made += Claim(kMillisecond, StoreStatus::kUnavailable) ? 1 : 0;
@@ -66,7 +66,7 @@
 
 // The platform accepts calls and never answers. After the unanswered-call
 // timeout the next claim is refused at once instead of at its own timeout.
-TEST_F(PlatformClientTest, SilenceIsDown) {
+TEST_F(PlatformClientTest, UnansweredCallsMeanDown) {
   ASSERT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));
   now_ += Breaker::kUnansweredTimeout + kMillisecond;
   EXPECT_EQ(client_.state(now_), PlatformState::kDown);
@@ -77,7 +77,7 @@
 }
 
 // One slow call among fast ones does not mean that the platform is down.
-TEST_F(PlatformClientTest, OneSilentCallAmongAnsweredOnes) {
+TEST_F(PlatformClientTest, OneUnansweredCallAmongAnsweredOnes) {
   ASSERT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));
   for (int n = 0; n < 100; ++n) {
     EXPECT_TRUE(Claim(20 * kMillisecond, StoreStatus::kOk));
@@ -87,7 +87,7 @@
 
 // A caller polls for a status continuously. Its reads are limited to their rate
 // and concurrency; claims are not affected.
-TEST_F(PlatformClientTest, HotReaderDoesNotTakeTheClaimsPlaces) {
+TEST_F(PlatformClientTest, FrequentReaderDoesNotBlockClaims) {
   int reads = 0;
   for (int n = 0; n < 1000; ++n) {
     reads += client_.Start(now_, StorePurpose::kClaimReads) ? 1 : 0;
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -161,7 +161,7 @@
 // An upstream closes one connection and continues to run. A request whose
 // connection was closed twice is not convicted, because the upstream is checked
 // first.
-TEST(QuarantineTest, CutConnectionIsNoCrash) {
+TEST(QuarantineTest, ClosedConnectionIsNoCrash) {
   SidecarRig rig(/*limit=*/4);
   for (std::uint64_t n = 1; n <= 2; ++n) {
     StageCall call = rig.Call(n);
@@ -179,7 +179,7 @@
 
 // The upstream crashes and never answers again. The calls whose connections
 // were lost are answered when the crash check times out.
-TEST(QuarantineTest, DeadUpstreamThatStaysSilentIsACrash) {
+TEST(QuarantineTest, UpstreamThatStaysUnresponsiveHasCrashed) {
   SidecarRig rig(/*limit=*/4);
   StageCall call = rig.Call(1);
   call.fingerprint = 9;
@@ -195,7 +195,7 @@
 
 // An entry that does not know of the conviction sends a convicted request. The
 // sidecar refuses it before it reaches the upstream.
-TEST(QuarantineTest, SidecarRefusesWhatItsEntryHasNotHeardOf) {
+TEST(QuarantineTest, SidecarRefusesAConvictionUnknownToTheEntry) {
   SidecarRig rig;
   Heartbeat heartbeat;
   heartbeat.quarantined = {
@@ -213,7 +213,7 @@
 // A suspect must run with no other call beside it, or the next crash makes
 // harmless requests suspects again. No call starts while it waits for the slots
 // to empty or runs, and all waiting calls are served after it.
-TEST(QuarantineTest, SuspectRunsApart) {
+TEST(QuarantineTest, SuspectRunsAlone) {
   SidecarRig rig(/*limit=*/2);
   rig.Deliver(rig.Call(1));
   rig.Deliver(rig.Suspect(2));
@@ -232,7 +232,7 @@
 // Two requests wait at one sidecar when a heartbeat reports the conviction of
 // one and a crash of the other elsewhere. The state of a waiting call is
 // checked again before it starts.
-TEST(QuarantineTest, WaitingCallIsJudgedAgainAtHandOver) {
+TEST(QuarantineTest, QuarantineIsCheckedAgainWhenACallStarts) {
   SidecarRig rig;
   rig.Deliver(rig.Call(1));
   StageCall convicted = rig.Call(2);
@@ -259,7 +259,7 @@
 // The upstream is busy with a long job when a suspect arrives. If the other
 // slots were kept free until the job ends, no other call would run, so the
 // suspect is refused and can go elsewhere.
-TEST(QuarantineTest, SuspectDoesNotHoldSlotsForLong) {
+TEST(QuarantineTest, SuspectKeepsSlotsFreeForALimitedTime) {
   SidecarRig rig(/*limit=*/2);
   rig.Deliver(rig.Call(1));
   rig.Deliver(rig.Suspect(2));
@@ -271,7 +271,7 @@
   EXPECT_EQ(rig.started.size(), 2);
 }
 
-TEST(QuarantineTest, OrderOfNewsDoesNotMatter) {
+TEST(QuarantineTest, MergeDoesNotDependOnOrder) {
   const std::vector<QuarantineRecord> records = {
       {9, 0, Standing::kSuspect, 0, "a", {"x"}},
       {9, 0, Standing::kConvicted, 0, "a", {"x", "y"}},
@@ -302,7 +302,7 @@
 
 // A node that starts late receives every record in rotation, though a heartbeat
 // holds only a few.
-TEST(QuarantineTest, EveryRecordIsToldInTurn) {
+TEST(QuarantineTest, HeartbeatsCarryEveryRecordInRotation) {
   Quarantine sender;
   for (std::uint64_t n = 1; n <= 100; ++n) {
     sender.OnCrash(kSecond, "x", {{n, "a"}});
--- a/tests/settings_sync_test.cc
+++ b/tests/settings_sync_test.cc
@@ -22,7 +22,7 @@
   return true;
 }
 
-TEST(SettingsSyncTest, ChangeIsEverywhereWithinThePromise) {
+TEST(SettingsSyncTest, ChangeReachesAllNodesWithinTheBound) {
   constexpr int kNodes = 60;
   SettingsNet net(kNodes, 1);
   ASSERT_EQ(net.Change("depot", 1), 1U);
@@ -54,7 +54,7 @@
 // The platform is down for an hour. Each node learns from a majority that none
 // has a newer version, so all continue; the change made after the outage
 // reaches all nodes in time.
-TEST(SettingsSyncTest, HourOfOutageStopsNobody) {
+TEST(SettingsSyncTest, HourOfOutageStopsNoNode) {
   constexpr int kNodes = 5;
   SettingsNet net(kNodes, 3);
   net.Change("depot", 1);
@@ -75,7 +75,7 @@
 
 // During the outage reads are not answered instead of refused, and a fifth of
 // all datagrams is lost. No node waits for the unanswered reads to end.
-TEST(SettingsSyncTest, SilentOutageWithLossStopsNobody) {
+TEST(SettingsSyncTest, UnansweredOutageWithLossStopsNoNode) {
   constexpr int kNodes = 5;
   SettingsNet net(kNodes, 4);
   net.Change("depot", 1);
@@ -94,7 +94,7 @@
 // cannot distinguish that from an outage; alone it is not a majority, so it
 // stops accepting work within five seconds, and accepts it again, under the new
 // version, once it is reconnected.
-TEST(SettingsSyncTest, CutNodeStopsBeforeThePromiseBreaks) {
+TEST(SettingsSyncTest, IsolatedNodeStopsWithinTheBound) {
   SettingsNet net(3, 5);
   net.Change("depot", 1);
   net.Run(kChangeBound);
@@ -117,7 +117,7 @@
 
 // A minority loses the table and the other nodes, but not one another. Two of
 // five that agree are no majority: they stop as well.
-TEST(SettingsSyncTest, CutMinorityIsNoOutage) {
+TEST(SettingsSyncTest, IsolatedMinorityStops) {
   SettingsNet net(5, 6);
   net.Change("depot", 1);
   net.Run(kChangeBound);
@@ -136,7 +136,7 @@
 // A process is suspended for a minute while versions change. Answers to its old
 // requests wait in its sockets and are handled first when it resumes; they are
 // no proof, because their age counts from when the request was sent.
-TEST(SettingsSyncTest, PausedNodeWakesWithoutServingOldSettings) {
+TEST(SettingsSyncTest, PausedNodeDoesNotServeOldSettings) {
   for (int offset = 0; offset < 40; ++offset) {
     SettingsNet net(3, 7);
     net.Change("depot", 1);
@@ -159,7 +159,7 @@
 // Then 0 restarts and reaches only 1. Both agree on version 1, but 0 has lost
 // its state and does not count as a witness: neither may serve, or the accepted
 // change would be reverted where it was already served.
-TEST(SettingsSyncTest, RestartedWitnessDoesNotMakeUpAMajority) {
+TEST(SettingsSyncTest, RestartedWitnessDoesNotCountForAMajority) {
   SettingsNet net(3, 10);
   net.Change("depot", 1);
   net.Run(kChangeBound);
@@ -197,7 +197,7 @@
 
 // Entries restart in turn while operators change branches. A restarted entry
 // never serves under an older version than before its restart.
-TEST(SettingsSyncTest, RestartsInTurnNeverGoBack) {
+TEST(SettingsSyncTest, RestartsInTurnNeverDecreaseVersions) {
   constexpr int kNodes = 4;
   SettingsNet net(kNodes, 9);
   net.Change("depot", 1);
--- a/tests/settings_write_test.cc
+++ b/tests/settings_write_test.cc
@@ -57,7 +57,7 @@
 
 // Two operators read version 1 and both write. The table accepts the first; the
 // second receives version 2 in the result, and its body is not stored.
-TEST(SettingsWriteTest, RaceHasOneWinnerAndTellsTheOther) {
+TEST(SettingsWriteTest, RaceHasOneWinnerAndInformsTheLoser) {
   FakeTable table;
   RunToResult(&table, Change("depot", "depot", Body("depot")), 1);
   SettingsWrite first(Change("depot", "depot", Body("depot", 2)), 2);
@@ -130,7 +130,7 @@
             WriteOutcome::kInvalid);
 }
 
-TEST(SettingsWriteTest, EditOfAnOldVersionIsToldTheNewOne) {
+TEST(SettingsWriteTest, EditOfAnOldVersionReturnsTheNewOne) {
   FakeTable table;
   RunToResult(&table, Change("depot", "depot", Body("depot")), 1);
   RunToResult(&table, Change("depot", "depot", Body("depot", 2)), 2);
--- a/tests/sidecar_test.cc
+++ b/tests/sidecar_test.cc
@@ -117,7 +117,7 @@
 // A call waits while the sidecar is suspended past its deadline. When it
 // resumes, the upstream's answer to another call is handled first and frees the
 // slot. The waiting call must not take it.
-TEST(SidecarTest, WaitingCallIsLateAfterPauseWhateverComesFirst) {
+TEST(SidecarTest, WaitingCallIsLateAfterPauseWhateverInputIsFirst) {
   SidecarRig rig;
   rig.Deliver(rig.Call(1, 60 * kSecond));
   rig.Deliver(rig.Call(2, kSecond));
@@ -147,7 +147,7 @@
 // A non-idempotent order runs past its deadline. An interruption could leave it
 // half done, so it keeps its slot until the upstream answers; a sidecar that
 // freed the slot would overload the upstream.
-TEST(SidecarTest, OrderPastItsDeadlineIsNotCutAndKeepsItsSlot) {
+TEST(SidecarTest, OrderPastItsDeadlineIsNotInterruptedAndKeepsItsSlot) {
   SidecarRig rig;
   StageCall order = rig.Call(1, kSecond);
   order.idempotent = false;
@@ -165,7 +165,7 @@
 }
 
 // The upstream never answers an order. Its slot is freed after a maximum time.
-TEST(SidecarTest, LostOrderGivesItsSlotBack) {
+TEST(SidecarTest, LostOrderFreesItsSlot) {
   SidecarRig rig;
   StageCall order = rig.Call(1, kSecond);
   order.idempotent = false;
@@ -193,7 +193,7 @@
 // The upstream does not answer status requests. Its last report expires;
 // waiting calls are refused with "not run" so that they can run elsewhere, and
 // no new call is accepted until the next report.
-TEST(SidecarTest, SilentUpstreamIsGivenNothingNew) {
+TEST(SidecarTest, UnresponsiveUpstreamGetsNoNewCalls) {
   SidecarRig rig;
   rig.Report();
   rig.Deliver(rig.Call(1));
@@ -211,7 +211,7 @@
   EXPECT_EQ(rig.started.size(), 2);
 }
 
-TEST(TombstonesTest, MemoryIsBoundedAndTheDroppedOnesAreStillNotRun) {
+TEST(TombstonesTest, MemoryIsBoundedAndEvictedOnesMayHaveRun) {
   Tombstones tombstones(/*max_tombstones=*/100);
   for (std::uint64_t n = 1; n <= 1000; ++n) {
     tombstones.Add({{1, n}, 0, 1}, static_cast<TimeUs>(n) * kSecond);
