--- a/src/coordination/control/fence.cc
+++ b/src/coordination/control/fence.cc
@@ -24,9 +24,9 @@
 }
 
 void FenceGuard::ReadLease(TimeUs now) {
-  reading_ = true;
-  read_at_ = now;
-  output_->ReadLease(++ticket_);
+  lease_read_pending_ = true;
+  lease_read_at_ = now;
+  output_->ReadLease(++lease_ticket_);
 }
 
 void FenceGuard::RaiseFence(FenceNumber number) {
@@ -87,10 +87,10 @@
 void FenceGuard::OnLease(TimeUs now,
                          std::uint64_t ticket,
                          std::optional<FenceNumber> number) {
-  if (!reading_ || ticket != ticket_) {
+  if (!lease_read_pending_ || ticket != lease_ticket_) {
     return;
   }
-  reading_ = false;
+  lease_read_pending_ = false;
   if (number) {
     RaiseFence(*number);
     fence_at_start_ = fence_at_start_.value_or(*number);
@@ -102,7 +102,7 @@
     AnswerFirst(now, Refusal::kStoreDown);
     return;
   }
-  if (now - read_at_ > kMaxLeaseReadAge) {
+  if (now - lease_read_at_ > kMaxLeaseReadAge) {
     ReadLease(now);
     return;
   }
--- a/src/coordination/control/fence.h
+++ b/src/coordination/control/fence.h
@@ -109,9 +109,9 @@
   // The first order is being checked or is in progress at the upstream.
   std::deque<WaitingOrder> waiting_;
   bool order_in_progress_ = false;
-  std::uint64_t ticket_ = 0;
-  bool reading_ = false;
-  TimeUs read_at_ = 0;
+  std::uint64_t lease_ticket_ = 0;
+  bool lease_read_pending_ = false;
+  TimeUs lease_read_at_ = 0;
   // Outcomes under the number in force, by order id.
   std::map<std::string, Refusal> outcomes_;
 };
--- a/src/coordination/sidecar/sidecar.cc
+++ b/src/coordination/sidecar/sidecar.cc
@@ -44,7 +44,7 @@
 // a call whose deadline has passed, or whose upstream has begun to leave in the
 // meantime.
 void Sidecar::Impl::ApplyTimeouts(TimeUs now) {
-  clock = std::max(clock, now);
+  last_input_at = std::max(last_input_at, now);
   EndExpired(now);
   EndIsolationHold(now);
   tombstones.Expire(now);
@@ -93,7 +93,8 @@
     metrics->Count("acaciachute_sidecar_duplicates_total");
     return;
   }
-  const DurationUs age = ages.Of(call.key.request.origin, call.sent_at, now);
+  const DurationUs age =
+      message_ages.Of(call.key.request.origin, call.sent_at, now);
   quarantine.Merge(now, call.quarantined);
   const Standing standing = quarantine.Of(now, call.fingerprint);
   Work item;
@@ -101,7 +102,7 @@
   item.call = call;
   item.received = now;
   item.deadline = now + call.time_left - age;
-  item.is_long = times.IsLong(call);
+  item.is_long = service_times.IsLong(call);
   item.isolated = standing == Standing::kSuspect;
   if (tombstones.MayBeEvicted(call.key)) {
     Fail(now, item, Verdict::kMayHaveRun, Refusal::kFull);
@@ -151,7 +152,8 @@
 // would otherwise refuse all calls for ever, because only answers correct it.
 bool Sidecar::Impl::CanMeetDeadline(TimeUs now, const Work& item) const {
   return Occupied() == 0 ||
-         now + ExpectedWait(item) + times.Expected(item.call) <= item.deadline;
+         now + ExpectedWait(item) + service_times.Expected(item.call) <=
+             item.deadline;
 }
 
 DurationUs Sidecar::Impl::ExpectedWait(const Work& item) const {
@@ -160,13 +162,14 @@
   }
   const auto ahead = static_cast<DurationUs>(
       queue.Ahead(item.call.caller_class, item.deadline) + 1);
-  return ahead * times.Mean() / limit.Current();
+  return ahead * service_times.Mean() / limit.Current();
 }
 
 // Estimated time until all calls that wait now have started.
 DurationUs Sidecar::Impl::RetryAfter() const {
   const auto waiting = static_cast<DurationUs>(queue.size() + 1);
-  return std::max(kMinRetryAfter, waiting * times.Mean() / limit.Current());
+  return std::max(kMinRetryAfter,
+                  waiting * service_times.Mean() / limit.Current());
 }
 
 std::uint32_t Sidecar::Impl::Occupied() const {
@@ -244,7 +247,7 @@
   // Few calls take less than half of the expected time; one with less time left
   // would most likely occupy a slot without use.
   const DurationUs min_time_left =
-      Occupied() == 0 ? 0 : times.Expected(item.call) / 2;
+      Occupied() == 0 ? 0 : service_times.Expected(item.call) / 2;
   if (now + min_time_left >= item.deadline) {
     EndWaiting(now, key, Refusal::kLate);
     return false;
@@ -426,7 +429,8 @@
                           const NodeId& from,
                           Incarnation incarnation,
                           const Heartbeat& heartbeat) {
-  const DurationUs age = impl_->ages.Of(incarnation, heartbeat.sent_at, now);
+  const DurationUs age =
+      impl_->message_ages.Of(incarnation, heartbeat.sent_at, now);
   // The age of an entry's report counts from when it was sent.
   impl_->leaving.OnLeaveReport(now - age, LeaveRoute::kEntry,
                                heartbeat.receiver_leaving);
@@ -466,7 +470,7 @@
 
 TimeUs Sidecar::NextWakeup() const {
   TimeUs next = std::min(impl_->tombstones.NextExpiry(),
-                         impl_->leaving.NextChange(impl_->clock));
+                         impl_->leaving.NextChange(impl_->last_input_at));
   if (!impl_->deadlines.empty()) {
     next = std::min(next, impl_->deadlines.begin()->first);
   }
@@ -484,7 +488,7 @@
 
 void Sidecar::SetState(NodeState state) {
   impl_->state = state;
-  impl_->ApplyTimeouts(impl_->clock);
+  impl_->ApplyTimeouts(impl_->last_input_at);
 }
 
 void Sidecar::LeaveByOrder(TimeUs now) {
@@ -498,7 +502,7 @@
 }
 
 NodeState Sidecar::state() const {
-  switch (impl_->ClosedReason(impl_->clock)) {
+  switch (impl_->ClosedReason(impl_->last_input_at)) {
     case Refusal::kNone:
       return NodeState::kReady;
     case Refusal::kLeaving:
@@ -528,8 +532,9 @@
         return it.second.call.caller_class == CallerClass::kUrgent;
       }));
   heartbeat.load.limit = impl_->limit.Current();
-  heartbeat.load.service_us = static_cast<std::uint32_t>(impl_->times.Mean());
-  heartbeat.quarantined = impl_->quarantine.Told(impl_->clock);
+  heartbeat.load.service_us =
+      static_cast<std::uint32_t>(impl_->service_times.Mean());
+  heartbeat.quarantined = impl_->quarantine.Told(impl_->last_input_at);
   return heartbeat;
 }
 
--- a/src/coordination/sidecar/sidecar_impl.h
+++ b/src/coordination/sidecar/sidecar_impl.h
@@ -103,7 +103,7 @@
   SidecarOutput* const output;
   Metrics* const metrics;
   NodeState state = NodeState::kReady;
-  TimeUs clock = 0;  // Time of the last input.
+  TimeUs last_input_at = 0;
   UpstreamCallId next_upstream_call = 1;
 
   absl::flat_hash_map<StageKey, Work> work;
@@ -111,12 +111,12 @@
   absl::flat_hash_map<UpstreamCallId, detail::Overrun> overrunning;
   std::set<std::pair<TimeUs, StageKey>> deadlines;
   Tombstones tombstones;
-  MessageAge ages;
+  MessageAge message_ages;
   Leaving leaving;
 
   ClassQueue queue;
   std::uint32_t running_long = 0;
-  ServiceTimes times;
+  ServiceTimes service_times;
   ConcurrencyLimit limit;
 
   Quarantine quarantine;
--- a/src/coordination/sidecar/sidecar_upstream.cc
+++ b/src/coordination/sidecar/sidecar_upstream.cc
@@ -24,7 +24,7 @@
                                DurationUs service) {
   const Work& item = work.at(key);
   limit.OnAnswer(now, service, Occupied());
-  times.OnAnswer(item.call, service);
+  service_times.OnAnswer(item.call, service);
   if (item.isolated) {
     quarantine.OnAnsweredAlone(now, item.call.fingerprint);
   }
--- a/tests/claims_property_test.cc
+++ b/tests/claims_property_test.cc
@@ -165,7 +165,7 @@
       for (int n = 0; n < kEntries; ++n) {
         driver_.HangUp(n, it.handle);
       }
-      gone_[it.handle] = true;
+      disconnected_[it.handle] = true;
     }
   }
 
@@ -189,7 +189,7 @@
   std::vector<Sent> sent_;
   std::map<int, bool> paused_;
   std::map<int, bool> sidecar_paused_;
-  std::map<CallerHandle, bool> gone_;
+  std::map<CallerHandle, bool> disconnected_;
   std::size_t next_store_ = 0;
   std::size_t next_message_ = 0;
 };
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -120,9 +120,9 @@
   EXPECT_GT(answer.retry_after, 0);
   EXPECT_EQ(driver.RunsOf("down"), 0);
   driver.store_fault = nullptr;
-  const auto again = driver.Ask(0, CoreDriver::MakeOnce("k", R"("down")"));
+  const auto resent = driver.Ask(0, CoreDriver::MakeOnce("k", R"("down")"));
   driver.Run(kSecond);
-  EXPECT_EQ(OnlyAnswer(driver, again).verdict, Verdict::kAnswered);
+  EXPECT_EQ(OnlyAnswer(driver, resent).verdict, Verdict::kAnswered);
   EXPECT_EQ(driver.RunsOf("down"), 1);
 }
 
@@ -132,16 +132,16 @@
 // request runs once.
 TEST(ClaimsTest, LateClaimIsMarkedRefused) {
   CoreDriver driver(TwoEntries());
-  driver.store_fault = FaultFor(3, StoreFault::kLandLate);
+  driver.store_fault = FaultFor(3, StoreFault::kApplyLate);
   const auto refused = driver.Ask(0, CoreDriver::MakeOnce("k", R"("late")"));
   driver.Run(50 * kMillisecond);
   EXPECT_EQ(OnlyAnswer(driver, refused).verdict, Verdict::kNotRun);
   driver.Run(2 * kSecond);
   EXPECT_EQ(RowOf(driver, "k").state, ClaimState::kRefused);
   EXPECT_EQ(driver.entry(0).Unsettled(), 0);
-  const auto again = driver.Ask(1, CoreDriver::MakeOnce("k", R"("late")"));
+  const auto resent = driver.Ask(1, CoreDriver::MakeOnce("k", R"("late")"));
   driver.Run(2 * kSecond);
-  EXPECT_EQ(OnlyAnswer(driver, again).verdict, Verdict::kAnswered);
+  EXPECT_EQ(OnlyAnswer(driver, resent).verdict, Verdict::kAnswered);
   EXPECT_EQ(driver.RunsOf("late"), 1);
 }
 
@@ -237,9 +237,9 @@
   EXPECT_EQ(RowOf(driver, "k").state, ClaimState::kRefused);
   driver.sidecar("orders-1").SetState(NodeState::kReady);
   driver.Run(300 * kMillisecond);
-  const auto again = driver.Ask(1, CoreDriver::MakeOnce("k", R"("r")"));
+  const auto resent = driver.Ask(1, CoreDriver::MakeOnce("k", R"("r")"));
   driver.Run(kSecond);
-  EXPECT_EQ(OnlyAnswer(driver, again).verdict, Verdict::kAnswered);
+  EXPECT_EQ(OnlyAnswer(driver, resent).verdict, Verdict::kAnswered);
   EXPECT_EQ(driver.RunsOf("\"r\""), 1);
 }
 
--- a/tests/core_driver.cc
+++ b/tests/core_driver.cc
@@ -93,7 +93,7 @@
   }
   SendHeartbeats();
   RunTicks();
-  Run(3 * options_.one_way);
+  Run(3 * options_.one_way_delay);
 }
 
 CoreDriver::~CoreDriver() = default;
@@ -148,7 +148,7 @@
 Fate CoreDriver::FateOf(const NodeId& from,
                         const NodeId& to,
                         const Message& message) {
-  return network ? network(from, to, message) : Fate{{options_.one_way}};
+  return network ? network(from, to, message) : Fate{{options_.one_way_delay}};
 }
 
 void CoreDriver::EntryToSidecar(int n,
@@ -231,20 +231,20 @@
       process->core->OnStoreAnswer(now_, ticket, it);
     });
   };
-  const DurationUs one_way_time = options_.store_time / 2;
+  const DurationUs half_round_trip = options_.store_round_trip / 2;
   if (fault == StoreFault::kDown) {
-    answer(one_way_time, {StoreStatus::kUnavailable, {}});
+    answer(half_round_trip, {StoreStatus::kUnavailable, {}});
     return;
   }
-  if (fault == StoreFault::kLandLate) {
-    answer(2 * one_way_time, {StoreStatus::kUnknown, {}});
-    At(now_ + options_.late_landing,
+  if (fault == StoreFault::kApplyLate) {
+    answer(2 * half_round_trip, {StoreStatus::kUnknown, {}});
+    At(now_ + options_.late_write_delay,
        [this, ops = std::move(ops)] { ApplyStore(ops); });
     return;
   }
   // The write takes effect even if its sender stops in the meantime.
-  At(now_ + one_way_time, [this, fault, answer, one_way_time,
-                           ops = std::move(ops)] {
+  At(now_ + half_round_trip, [this, fault, answer, half_round_trip,
+                              ops = std::move(ops)] {
     StoreAnswer it;
     if (fault != StoreFault::kLoseBefore) {
       it = ApplyStore(ops);
@@ -252,9 +252,9 @@
     if (fault == StoreFault::kLoseBefore || fault == StoreFault::kLoseAfter) {
       it = {StoreStatus::kUnknown, {}};
     }
-    answer(one_way_time, it);
+    answer(half_round_trip, it);
     if (fault == StoreFault::kAnswerTwice) {
-      answer(2 * one_way_time, it);
+      answer(2 * half_round_trip, it);
     }
   });
 }
@@ -411,7 +411,7 @@
   entries_[n].deferred.clear();
   for (auto& [unused, sidecar] : sidecars_) {
     if (sidecar.alive) {
-      RunAfter(&sidecar, options_.one_way, [this, n, it = &sidecar] {
+      RunAfter(&sidecar, options_.one_way_delay, [this, n, it = &sidecar] {
         it->core->OnPeerLost(now_, EntryName(n));
       });
     }
@@ -453,7 +453,7 @@
   it.running.clear();
   for (auto& entry : entries_) {
     if (entry.alive) {
-      RunAfter(&entry, options_.one_way, [this, node, process = &entry] {
+      RunAfter(&entry, options_.one_way_delay, [this, node, process = &entry] {
         process->core->OnPeerLost(now_, node);
       });
     }
--- a/tests/core_driver.h
+++ b/tests/core_driver.h
@@ -33,11 +33,12 @@
   int entries = 1;
   std::vector<DriverPool> pools = {{"orders"}};
   // One-way network delay between any two nodes, as at Brookvale.
-  DurationUs one_way = 1500;
-  DurationUs store_time = 3 * kMillisecond;  // Round-trip time of a store call.
+  DurationUs one_way_delay = 1500;
+  DurationUs store_round_trip =
+      3 * kMillisecond;  // Round-trip time of a store call.
   DurationUs service = 5 * kMillisecond;
-  // Delay of the write's effect for `kLandLate`.
-  DurationUs late_landing = 300 * kMillisecond;
+  // Delay of the write's effect for `kApplyLate`.
+  DurationUs late_write_delay = 300 * kMillisecond;
   std::uint32_t sidecar_limit = 4;
   ClaimKeeperFactory make_claims;  // Null: the production claim keeper.
 };
@@ -64,14 +65,14 @@
   std::vector<DurationUs> delays;
 };
 
-// Fault of one store call. `kLandLate` applies the write long after its sender
+// Fault of one store call. `kApplyLate` applies the write long after its sender
 // received no answer; `kAnswerTwice` repeats the answer.
 enum class StoreFault {
   kNone,
   kDown,
   kLoseBefore,
   kLoseAfter,
-  kLandLate,
+  kApplyLate,
   kAnswerTwice
 };
 
@@ -99,6 +100,7 @@
   CallerHandle Ask(int n, CallerRequest request);
   // Makes a request of event "round" by account "office".
   static CallerRequest MakeRequest(const std::string& body);
+  // Makes a non-idempotent request with an idempotency key.
   static CallerRequest MakeOnce(const std::string& key,
                                 const std::string& body);
 
--- a/tests/core_path_test.cc
+++ b/tests/core_path_test.cc
@@ -49,11 +49,11 @@
   CoreDriver driver({});
   driver.entry(0).Leave();
   const auto order = driver.Ask(0, CoreDriver::MakeOnce("k", R"("e")"));
-  const auto question = driver.Ask(0, CoreDriver::MakeRequest(R"("f")"));
+  const auto idempotent = driver.Ask(0, CoreDriver::MakeRequest(R"("f")"));
   driver.Run(kSecond);
   ASSERT_EQ(driver.AnswersTo(order).size(), 1U);
   EXPECT_EQ(driver.AnswersTo(order)[0].answer.detail, kThisCopyNotRun);
-  EXPECT_EQ(driver.AnswersTo(question)[0].answer.detail, "");
+  EXPECT_EQ(driver.AnswersTo(idempotent)[0].answer.detail, "");
 }
 
 // The network delivers every stage call twice. The upstream runs it once and
--- a/tests/pairs_test.cc
+++ b/tests/pairs_test.cc
@@ -51,7 +51,7 @@
   for (DurationUs at = 0; at <= kSecond; at += 10 * kMillisecond) {
     DriverOptions options;
     options.entries = 2;
-    options.store_time = 300 * kMillisecond;
+    options.store_round_trip = 300 * kMillisecond;
     options.service = 200 * kMillisecond;
     options.pools = {{"orders", StageKind::kService, 2}};
     CoreDriver driver(options);
@@ -170,7 +170,7 @@
 // never both.
 TEST(PairsTest, LostStoreAnswerAndResend) {
   constexpr std::array<StoreFault, 4> kFaults = {
-      StoreFault::kLoseBefore, StoreFault::kLoseAfter, StoreFault::kLandLate,
+      StoreFault::kLoseBefore, StoreFault::kLoseAfter, StoreFault::kApplyLate,
       StoreFault::kAnswerTwice};
   constexpr int kCalls = 6;
   int answered = 0;
--- a/tests/platform_client_test.cc
+++ b/tests/platform_client_test.cc
@@ -64,8 +64,9 @@
   EXPECT_EQ(client_.state(now_), PlatformState::kUp);
 }
 
-// The platform accepts calls and never answers. After the unanswered-call
-// timeout the next claim is refused at once instead of at its own timeout.
+// The platform accepts calls and never answers. Once a call has been unanswered
+// for the timeout, one claim passes as a probe, and the next is refused at once
+// instead of at its own timeout.
 TEST_F(PlatformClientTest, UnansweredCallsMeanDown) {
   ASSERT_TRUE(client_.Start(now_, StorePurpose::kClaimWrites));
   now_ += Breaker::kUnansweredTimeout + kMillisecond;
--- a/tests/settings_sync_test.cc
+++ b/tests/settings_sync_test.cc
@@ -60,14 +60,14 @@
   net.Change("depot", 1);
   net.Run(kChangeBound);
   net.table.down = true;
-  bool all = true;
-  net.on_step = [&] { all = all && AllServe(net, kNodes); };
+  bool all_served = true;
+  net.on_step = [&] { all_served = all_served && AllServe(net, kNodes); };
   net.Run(3600 * kSecond);
-  EXPECT_TRUE(all);
+  EXPECT_TRUE(all_served);
   net.table.down = false;
   net.Change("depot", 2);
   net.Run(kChangeBound);
-  EXPECT_TRUE(all);
+  EXPECT_TRUE(all_served);
   for (int n = 0; n < kNodes; ++n) {
     EXPECT_EQ(net.VersionAt(n, "depot"), 2U);
   }
@@ -84,10 +84,10 @@
   for (int n = 0; n < kNodes; ++n) {
     net.disconnected_from_table.insert(n);
   }
-  bool all = true;
-  net.on_step = [&] { all = all && AllServe(net, kNodes); };
+  bool all_served = true;
+  net.on_step = [&] { all_served = all_served && AllServe(net, kNodes); };
   net.Run(600 * kSecond);
-  EXPECT_TRUE(all);
+  EXPECT_TRUE(all_served);
 }
 
 // One node loses the table and its peers, and a change is accepted. The node
