--- a/tests/core_driver.h
+++ b/tests/core_driver.h
@@ -34,8 +34,7 @@
   std::vector<DriverPool> pools = {{"orders"}};
   // One-way network delay between any two nodes, as at Brookvale.
   DurationUs one_way_delay = 1500;
-  DurationUs store_round_trip =
-      3 * kMillisecond;  // Round-trip time of a store call.
+  DurationUs store_round_trip = 3 * kMillisecond;
   DurationUs service = 5 * kMillisecond;
   // Delay of the write's effect for `kApplyLate`.
   DurationUs late_write_delay = 300 * kMillisecond;
