--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -175,7 +175,7 @@
                                           const Event& event) const {
   for (const Stage& stage : event.stages) {
     const auto it = StageFingerprint(call.account, call.body, stage.pool);
-    if (quarantine.Of(now, it) == Standing::kConvicted) {
+    if (quarantine.Of(now, it) == QuarantineState::kConvicted) {
       return quarantine.Explain(it);
     }
   }
@@ -346,7 +346,7 @@
 }
 
 void Entry::OnRequest(TimeUs now, CallerRequest request) {
-  const Currency* freshness = impl_->options.freshness;
+  const SettingsFreshness* freshness = impl_->options.freshness;
   if (freshness != nullptr && !freshness->IsCurrent(now)) {
     impl_->Refuse(request, MakeRefusal(Verdict::kNotRun, Refusal::kNotCurrent));
     return;
--- a/src/coordination/interface/entry.h
+++ b/src/coordination/interface/entry.h
@@ -18,7 +18,7 @@
 #include "coordination/interface/claims.h"
 #include "coordination/interface/quarantine.h"
 #include "coordination/interface/store_calls.h"
-#include "coordination/settings/currency.h"
+#include "coordination/settings/settings_freshness.h"
 #include "messages.h"
 #include "state/cost_table.h"
 #include "state/metrics.h"
@@ -47,7 +47,7 @@
   // Maximum number of requests in progress.
   std::size_t max_requests = 4096;
   // Null: the settings always count as current.
-  const Currency* freshness = nullptr;
+  const SettingsFreshness* freshness = nullptr;
   // This entry's share of the table's transaction rate for claims.
   double claim_transactions_per_second = 100;
 };
--- a/src/coordination/interface/quarantine.cc
+++ b/src/coordination/interface/quarantine.cc
@@ -18,9 +18,9 @@
 // Lifetime of a record by its state. A cleared record outlives every suspicion
 // and conviction that it clears, so that a delayed copy of one cannot restore
 // it.
-constexpr std::array<DurationUs, kStandingNames.size()> kRecordLifetime = {
-    Quarantine::kConvictionDuration, Quarantine::kSuspicionDuration,
-    Quarantine::kConvictionDuration};
+constexpr std::array<DurationUs, kQuarantineStateNames.size()> kRecordLifetime =
+    {Quarantine::kConvictionDuration, Quarantine::kSuspicionDuration,
+     Quarantine::kConvictionDuration};
 
 void AddIfAbsent(const NodeId& node, std::vector<NodeId>* nodes) {
   if (nodes->size() < kMaxCrashesPerRecord &&
@@ -49,22 +49,25 @@
 
 bool Quarantine::IsExpired(TimeUs now, const Entry& entry) {
   return now - entry.changed_at >=
-         kRecordLifetime[static_cast<std::size_t>(entry.standing)];
+         kRecordLifetime[static_cast<std::size_t>(entry.quarantine_state)];
 }
 
 QuarantineRecord Quarantine::ToRecord(TimeUs now,
                                       std::uint64_t fingerprint,
                                       const Entry& entry) {
-  return {fingerprint,    entry.epoch,
-          entry.standing, now - entry.changed_at,
-          entry.account,  entry.crashed_at};
+  return {fingerprint,
+          entry.epoch,
+          entry.quarantine_state,
+          now - entry.changed_at,
+          entry.account,
+          entry.crashed_at};
 }
 
-Standing Quarantine::Of(TimeUs now, std::uint64_t fingerprint) const {
+QuarantineState Quarantine::Of(TimeUs now, std::uint64_t fingerprint) const {
   const auto it = records_.find(fingerprint);
   return it == records_.end() || IsExpired(now, it->second)
-             ? Standing::kClear
-             : it->second.standing;
+             ? QuarantineState::kClear
+             : it->second.quarantine_state;
 }
 
 std::vector<NodeId> Quarantine::CrashedAt(std::uint64_t fingerprint) const {
@@ -116,9 +119,9 @@
   const bool elsewhere =
       std::any_of(entry.crashed_at.begin(), entry.crashed_at.end(),
                   [&](const NodeId& it) { return it != node; });
-  entry.standing =
-      std::max(entry.standing,
-               alone && elsewhere ? Standing::kConvicted : Standing::kSuspect);
+  entry.quarantine_state = std::max(
+      entry.quarantine_state, alone && elsewhere ? QuarantineState::kConvicted
+                                                 : QuarantineState::kSuspect);
   entry.account = suspect.account.substr(0, kMaxAccountBytes);
   AddIfAbsent(node, &entry.crashed_at);
 }
@@ -126,18 +129,18 @@
 void Quarantine::Clear(TimeUs now, std::uint64_t fingerprint) {
   Entry& entry = FindOrAdd(now, fingerprint);
   ++entry.epoch;
-  entry.standing = Standing::kClear;
+  entry.quarantine_state = QuarantineState::kClear;
   entry.crashed_at.clear();
 }
 
 void Quarantine::OnAnsweredAlone(TimeUs now, std::uint64_t fingerprint) {
-  if (Of(now, fingerprint) == Standing::kSuspect) {
+  if (Of(now, fingerprint) == QuarantineState::kSuspect) {
     Clear(now, fingerprint);
   }
 }
 
 bool Quarantine::Lift(TimeUs now, std::uint64_t fingerprint) {
-  if (Of(now, fingerprint) == Standing::kClear) {
+  if (Of(now, fingerprint) == QuarantineState::kClear) {
     return false;
   }
   Clear(now, fingerprint);
@@ -148,10 +151,10 @@
                        const std::vector<QuarantineRecord>& records) {
   bool changed = false;
   for (const QuarantineRecord& it : records) {
-    if (it.standing > Standing::kConvicted) {
+    if (it.quarantine_state > QuarantineState::kConvicted) {
       continue;  // A state that this build does not know.
     }
-    const Entry theirs = {it.epoch, it.standing,
+    const Entry theirs = {it.epoch, it.quarantine_state,
                           now - std::max<DurationUs>(0, it.age), it.account,
                           it.crashed_at};
     if (it.fingerprint == 0 || IsExpired(now, theirs)) {
@@ -166,7 +169,7 @@
     }
     Entry& entry = ours->second;
     const auto rank = [](const Entry& e) {
-      return std::tuple(e.epoch, e.standing);
+      return std::tuple(e.epoch, e.quarantine_state);
     };
     if (rank(theirs) > rank(entry)) {
       entry = theirs;
@@ -220,7 +223,7 @@
 std::vector<QuarantineRecord> Quarantine::All(TimeUs now) const {
   std::vector<QuarantineRecord> all;
   for (const auto& [fingerprint, entry] : records_) {
-    if (Of(now, fingerprint) != Standing::kClear) {
+    if (Of(now, fingerprint) != QuarantineState::kClear) {
       all.push_back(ToRecord(now, fingerprint, entry));
     }
   }
@@ -235,8 +238,8 @@
   }
   records_.erase(std::min_element(
       records_.begin(), records_.end(), [](const auto& a, const auto& b) {
-        return std::tie(a.second.standing, a.second.changed_at) <
-               std::tie(b.second.standing, b.second.changed_at);
+        return std::tie(a.second.quarantine_state, a.second.changed_at) <
+               std::tie(b.second.quarantine_state, b.second.changed_at);
       }));
 }
 
--- a/src/coordination/settings/currency.h
+++ b/src/coordination/settings/settings_freshness.h
@@ -1,14 +1,14 @@
 // Interface that tells whether a node can prove that its settings are in force.
-#ifndef ACACIACHUTE_SRC_COORDINATION_SETTINGS_CURRENCY_H_
-#define ACACIACHUTE_SRC_COORDINATION_SETTINGS_CURRENCY_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_FRESHNESS_H_
+#define ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_FRESHNESS_H_
 
 #include "types.h"
 
 namespace acaciachute {
 
-class Currency {
+class SettingsFreshness {
  public:
-  virtual ~Currency() = default;
+  virtual ~SettingsFreshness() = default;
   // Checked when a request is admitted, so that a process that was suspended
   // does not serve requests from its socket buffers under outdated settings.
   virtual bool IsCurrent(TimeUs now) const = 0;
@@ -16,4 +16,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_SETTINGS_CURRENCY_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_FRESHNESS_H_
--- a/src/coordination/settings/settings_sync.cc
+++ b/src/coordination/settings/settings_sync.cc
@@ -13,7 +13,7 @@
 
 // A gossip request expires after the maximum age of settings, because its
 // answer could then no longer prove that they are in force.
-constexpr DurationUs kGossipRequestTimeout = SettingsSync::kCurrencyBound;
+constexpr DurationUs kGossipRequestTimeout = SettingsSync::kMaxSettingsAge;
 
 std::uint64_t HashOf(std::string_view text, std::uint64_t seed) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
@@ -350,7 +350,7 @@
   digest.proof_age = AgeOf(now, proof_time_);
   digest.established = established_;
   for (const auto& [witness, at] : witnesses_) {
-    if (at >= 0 && now - at <= kCurrencyBound) {
+    if (at >= 0 && now - at <= kMaxSettingsAge) {
       digest.witnesses.push_back({witness, now - at});
     }
   }
@@ -375,7 +375,7 @@
 // proof younger than the limit accepts no new work.
 bool SettingsSync::IsCurrent(TimeUs now) const {
   const TimeUs at = std::max(proof_time_, WitnessedAt(now));
-  return established_ && now - at <= kCurrencyBound &&
+  return established_ && now - at <= kMaxSettingsAge &&
          !settings_->branches().empty();
 }
 
--- a/src/coordination/settings/settings_sync.h
+++ b/src/coordination/settings/settings_sync.h
@@ -37,7 +37,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/settings/currency.h"
+#include "coordination/settings/settings_freshness.h"
 #include "messages.h"
 #include "state/metrics.h"
 #include "state/random.h"
@@ -62,11 +62,11 @@
   virtual void OnApplied(const SettingsPtr& settings) = 0;
 };
 
-class SettingsSync : public Currency {
+class SettingsSync : public SettingsFreshness {
  public:
   // Half a second below the guaranteed 5 s: one gossip period, and the time in
   // which a request that was just admitted is sent to the upstream.
-  static constexpr DurationUs kCurrencyBound = 4500 * kMillisecond;
+  static constexpr DurationUs kMaxSettingsAge = 4500 * kMillisecond;
   static constexpr int kReaders = 3;
   static constexpr DurationUs kTableReadPeriod = kSecond;
   // Minimum age of the proof, plus a random addition of up to the same length,
--- a/src/coordination/sidecar/sidecar.cc
+++ b/src/coordination/sidecar/sidecar.cc
@@ -96,20 +96,20 @@
   const DurationUs age =
       message_ages.Of(call.key.request.origin, call.sent_at, now);
   quarantine.Merge(now, call.quarantined);
-  const Standing standing = quarantine.Of(now, call.fingerprint);
+  const QuarantineState quarantine_state = quarantine.Of(now, call.fingerprint);
   Work item;
   item.entry = from;
   item.call = call;
   item.received = now;
   item.deadline = now + call.time_left - age;
   item.is_long = service_times.IsLong(call);
-  item.isolated = standing == Standing::kSuspect;
+  item.isolated = quarantine_state == QuarantineState::kSuspect;
   if (tombstones.MayBeEvicted(call.key)) {
     Fail(now, item, Verdict::kMayHaveRun, Refusal::kFull);
     return;
   }
   Refusal reason = ClosedReason(now);
-  if (standing == Standing::kConvicted) {
+  if (quarantine_state == QuarantineState::kConvicted) {
     reason = Refusal::kQuarantined;
   } else if (reason == Refusal::kNone && item.deadline <= now) {
     reason = Refusal::kLate;
@@ -234,12 +234,13 @@
 // waited.
 bool Sidecar::Impl::StartCall(TimeUs now, const StageKey& key) {
   Work& item = work[key];
-  const Standing standing = quarantine.Of(now, item.call.fingerprint);
-  if (standing == Standing::kConvicted) {
+  const QuarantineState quarantine_state =
+      quarantine.Of(now, item.call.fingerprint);
+  if (quarantine_state == QuarantineState::kConvicted) {
     EndWaiting(now, key, Refusal::kQuarantined);
     return false;
   }
-  if (standing == Standing::kSuspect && !item.isolated) {
+  if (quarantine_state == QuarantineState::kSuspect && !item.isolated) {
     item.isolated = true;
     isolated_waiting.push_back(key);
     return false;
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -72,7 +72,7 @@
       kKeyAgeShare * static_cast<double>(settings.key_revocation));
   options.budget = settings.retries;
   options.cold = settings.cold;
-  options.replica_beat = settings.replica_beat;
+  options.replica_heartbeat_period = settings.replica_heartbeat_period;
   return options;
 }
 
@@ -100,9 +100,9 @@
       batchers(&directory,
                this,
                [this](const std::string& service) {
-                 return gateway->BudgetOf(service);
+                 return gateway->RetryBudgetOf(service);
                }),
-      desk(settings.node, &peers, &batchers, &directory, this, &log),
+      dispatcher(settings.node, &peers, &batchers, &directory, this, &log),
       join(settings.node,
            {settings.ip, settings.first_peer_port},
            this,
@@ -133,7 +133,7 @@
                &random,
                &metrics,
                &log) {
-  gateway = std::make_unique<Gateway>(OptionsOf(settings), this, &desk,
+  gateway = std::make_unique<Gateway>(OptionsOf(settings), this, &dispatcher,
                                       &directory, &random, &metrics, &log);
   ApplyBounds();
 }
@@ -175,7 +175,7 @@
   directory.OnTick(now);
   TickPeers(now);
   batchers.OnTick(now);
-  desk.OnTick(now);
+  dispatcher.OnTick(now);
   gateway->OnTick();
   if (draining) {
     CheckDrained();
@@ -204,7 +204,7 @@
     gateway->RefuseAll();
   }
   const bool idle = since >= kLeastDrain && gateway->in_progress() == 0 &&
-                    clients.exchanges() == 0 && desk.ServesNobody();
+                    clients.exchanges() == 0 && dispatcher.ServesNobody();
   if (!idle && since < settings.grace - kExitReserve) {
     return;
   }
@@ -242,14 +242,14 @@
   settings.key_revocation = fresh->key_revocation;
   settings.retries = fresh->retries;
   settings.cold = fresh->cold;
-  settings.replica_beat = fresh->replica_beat;
+  settings.replica_heartbeat_period = fresh->replica_heartbeat_period;
   settings.freshness = fresh->freshness;
   ApplyBounds();
   gateway->SetOptions(after);
 }
 
 bool GatewayNode::Impl::Ready() const {
-  return !draining && gateway->current() && replicas.watch.known();
+  return !draining && gateway->can_check_keys() && replicas.watch.known();
 }
 
 void GatewayNode::Impl::OnOperatorRequest(ExchangeId id,
@@ -286,7 +286,7 @@
 void GatewayNode::Impl::OnRequest(ExchangeId id,
                                   HttpRequestHead head,
                                   std::string body) {
-  auto call = platform::ReadClientCall(std::move(head), std::move(body));
+  auto call = platform::ReadClientRequest(std::move(head), std::move(body));
   if (!call.ok()) {
     log.Write("malformed", {{"why", std::string(call.status().message())}});
     metrics.Count("acaciachute_gateway_refused_total",
@@ -305,23 +305,23 @@
       {{"what", event.what}, {"status", event.status}, {"why", event.reason}});
 }
 
-void GatewayNode::Impl::Refuse(ExchangeId id, const OwnAnswer& answer) {
-  const auto reply = platform::WriteOwnAnswer(answer);
+void GatewayNode::Impl::Refuse(ExchangeId id, const LocalReply& answer) {
+  const auto reply = platform::WriteLocalReply(answer);
   clients.Reply(id, reply.status, reply.fields, reply.body);
 }
 
-CallId GatewayNode::Impl::Send(const SendOrder& order) {
+CallId GatewayNode::Impl::Send(const AttemptRequest& attempt) {
   // A kept connection may be closed by the other end just as it is used; what
   // was sent may then have run. One used a moment ago is the safer.
   constexpr DurationUs kFresh = kSecond;
   ChannelOptions options;
-  if (!order.may_repeat) {
+  if (!attempt.may_repeat) {
     options.most_idle = kFresh;
   }
   options.connect = std::min(kConnect, replicas.plan.Connect());
-  options.most_kept = order.most_idle_connections;
-  return channels.Start(order.address, platform::WriteSendOrder(order), options,
-                        this);
+  options.most_kept = attempt.most_idle_connections;
+  return channels.Start(attempt.address, platform::WriteAttemptRequest(attempt),
+                        options, this);
 }
 
 // A whole call says nothing new: its line would double those of its start.
@@ -346,11 +346,11 @@
                {"made", made},
                {"late", of(PieceOutcome::kLate)},
                {"input_gone", of(PieceOutcome::kInputGone)},
-               {"no_room", of(PieceOutcome::kNoRoom)},
+               {"no_room", of(PieceOutcome::kOutOfMemory)},
                {"failed", of(PieceOutcome::kFailed)}});
   }
   batchers.OnCallEnd(Now(), service, id, end);
-  desk.SendResults();
+  dispatcher.SendResults();
 }
 
 void GatewayNode::Impl::StartCall(const PieceCall& call) {
--- a/src/messages.h
+++ b/src/messages.h
@@ -20,7 +20,7 @@
 struct QuarantineRecord {
   std::uint64_t fingerprint = 0;
   std::uint32_t epoch = 0;
-  Standing standing = Standing::kClear;
+  QuarantineState quarantine_state = QuarantineState::kClear;
   DurationUs age = 0;  // Since its last change.
   std::string account;
   std::vector<NodeId> crashed_at;
@@ -180,40 +180,40 @@
 // Work that a gateway has at one engine.
 struct EngineWork {
   std::string replica;
-  Incarnation life = 0;  // Of the replica, as the sender knows it.
+  Incarnation incarnation = 0;  // Of the replica, as the sender knows it.
   std::uint32_t running = 0;
   std::uint64_t unread_tokens = 0;  // Of prompts without a first token yet.
 };
 
 // The queue of a service whose pieces the sender batches.
-struct ServiceWait {
+struct ServiceQueueWait {
   std::string service;
-  PoolWait wait;
+  QueueWait wait;
 };
 
 // Gateway to gateway, over UDP: the sender lives, and what it has in progress.
-struct GatewayBeat {
+struct GatewayHeartbeat {
   Address address;  // Where it listens, for peers that do not know it yet.
   bool leaving = false;
-  bool current = false;  // Whether it may check keys now.
-  double cores = 1;      // Share of a processor core that it is given.
-  std::string domain;    // Failure domain of its host.
+  bool can_check_keys = false;  // Whether it may check keys now.
+  double cores = 1;             // Share of a processor core that it is given.
+  std::string domain;           // Failure domain of its host.
   DurationUs period = 150 * kMillisecond;  // Until its next beat, at most.
-  bool asks = false;                       // For a beat at once.
+  bool requests_reply = false;             // For a beat at once.
   std::vector<EngineWork> work;
-  std::vector<ServiceWait> waits;
+  std::vector<ServiceQueueWait> waits;
 };
 
 // Gateway to the gateway that batches a service's pieces.
-struct PieceOrders {
-  std::vector<PieceOrder> orders;
+struct PieceTasks {
+  std::vector<PieceTask> tasks;
 };
 // Nobody waits for the request's pieces any longer.
-struct PieceDrop {
+struct PieceCancel {
   std::string request;
 };
 // Results that are needed no longer.
-struct PieceFree {
+struct PieceRelease {
   std::vector<std::string> handles;
 };
 // The answers to orders.
@@ -223,7 +223,7 @@
 
 // Between gateways, over TCP: what changed in a table of the store? Without
 // news the answer is held for a while.
-struct TableQuestion {
+struct TableRequest {
   std::string table;
   std::uint64_t sequence = 0;  // Of the asker's questions.
   bool whole = false;          // All rows, or those above `after`.
@@ -249,12 +249,12 @@
                              ReachReport,
                              ControlOrder,
                              ControlOrderResult,
-                             GatewayBeat,
-                             PieceOrders,
-                             PieceDrop,
-                             PieceFree,
+                             GatewayHeartbeat,
+                             PieceTasks,
+                             PieceCancel,
+                             PieceRelease,
                              PieceResults,
-                             TableQuestion,
+                             TableRequest,
                              TableReply>;
 
 }  // namespace acaciachute
--- a/src/state/client_call.h
+++ b/src/state/client_request.h
@@ -1,6 +1,6 @@
 // One request of a client as the serving path sees it.
-#ifndef ACACIACHUTE_SRC_STATE_CLIENT_CALL_H_
-#define ACACIACHUTE_SRC_STATE_CLIENT_CALL_H_
+#ifndef ACACIACHUTE_SRC_STATE_CLIENT_REQUEST_H_
+#define ACACIACHUTE_SRC_STATE_CLIENT_REQUEST_H_
 
 #include <cstdint>
 #include <optional>
@@ -19,7 +19,7 @@
   std::uint32_t tokens = 0;
 };
 
-struct ClientCall {
+struct ClientRequest {
   std::string id;  // Of this attempt; the client's own retry has another.
   std::string method;
   std::string target;  // Byte for byte.
@@ -54,4 +54,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_STATE_CLIENT_CALL_H_
+#endif  // ACACIACHUTE_SRC_STATE_CLIENT_REQUEST_H_
--- a/src/state/host_settings.h
+++ b/src/state/host_settings.h
@@ -11,18 +11,18 @@
 namespace acaciachute {
 
 // What repeats may cost one service, over all entries together.
-struct AttemptBudgetLimits {
+struct ServiceRetryBudgetLimits {
   double ratio = 0.2;  // Of the requests in a window.
   double slack = 50;   // Beside them.
   DurationUs window = 10 * kSecond;
-  bool operator==(const AttemptBudgetLimits&) const = default;
+  bool operator==(const ServiceRetryBudgetLimits&) const = default;
 };
 
 // What one cold replica may get in a second, over all entries together.
-struct ColdBound {
+struct ColdRateBound {
   double over = 1.5;  // Of the rate that it stands.
   double slack = 5;   // Beside it.
-  bool operator==(const ColdBound&) const = default;
+  bool operator==(const ColdRateBound&) const = default;
 };
 
 // How long after the store's acknowledgement a host that has reached the store
@@ -50,11 +50,11 @@
   // How long after it was taken away a key may still be used.
   DurationUs key_revocation = 5 * kSecond;
   FreshnessBounds freshness;
-  DurationUs grace = 8 * kSecond;  // From the order to stop to the kill.
-  AttemptBudgetLimits retries;     // Over all entries together.
-  ColdBound cold;
+  DurationUs grace = 8 * kSecond;    // From the order to stop to the kill.
+  ServiceRetryBudgetLimits retries;  // Over all entries together.
+  ColdRateBound cold;
   // How often replicas write their rows.
-  DurationUs replica_beat = 1200 * kMillisecond;
+  DurationUs replica_heartbeat_period = 1200 * kMillisecond;
 };
 
 }  // namespace acaciachute
--- a/src/state/piece.h
+++ b/src/state/piece.h
@@ -22,7 +22,7 @@
   auto operator<=>(const PieceKey&) const = default;
 };
 
-struct PieceOrder {
+struct PieceTask {
   PieceKey key;
   std::string service;
   std::string source;               // For a stage that needs no other.
@@ -44,9 +44,9 @@
 
 enum class PieceOutcome {
   kMade,
-  kLate,       // Its time was over when its turn came.
-  kInputGone,  // A result that it needs is no longer there.
-  kNoRoom,     // The replica has no memory for the result.
+  kLate,         // Its time was over when its turn came.
+  kInputGone,    // A result that it needs is no longer there.
+  kOutOfMemory,  // The replica has no memory for the result.
   kFailed,
   kNotMade,  // No replica could be found for it.
 };
@@ -57,7 +57,7 @@
 }
 
 // What a piece handed in now would wait until its call begins.
-struct PoolWait {
+struct QueueWait {
   // By the piece's standing: of a request that can be on time, by its priority,
   // or of one that is late whatever happens.
   static constexpr std::size_t kRanks = 8;
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -16,13 +16,13 @@
 
 bool ReplicaDirectory::PassedOver(ReplicaEntry* entry) const {
   const auto it = ended_.find(entry->id.name);
-  if (it == ended_.end() || entry->id.life == 0) {
+  if (it == ended_.end() || entry->id.incarnation == 0) {
     return false;
   }
   const Ended& ended = it->second;
-  entry->leaving =
-      entry->leaving || (entry->id.life == ended.life && ended.left);
-  return entry->id.life < ended.life;
+  entry->leaving = entry->leaving ||
+                   (entry->id.incarnation == ended.incarnation && ended.left);
+  return entry->id.incarnation < ended.incarnation;
 }
 
 void ReplicaDirectory::List(const ReplicaEntry& entry) {
@@ -54,7 +54,7 @@
   row->entry = entry;
   row->entry.leaving = before.leaving || entry.leaving;
   row->entry.cold_until = std::max(before.cold_until, entry.cold_until);
-  row->entry.back_at = before.back_at;
+  row->entry.evacuation_ended_at = before.evacuation_ended_at;
   row->unreadable = false;
   missing_.erase(entry.id.name);
   AddToIndexes(row);
@@ -74,20 +74,20 @@
   const auto it = entries_.find(entry.id.name);
   if (it == entries_.end()) {
     if (PassedOver(&entry)) {
-      watcher_->OnReplica(entry, DirectoryChange::kOlderLife);
+      watcher_->OnReplica(entry, DirectoryChange::kOlderIncarnation);
       return;
     }
     List(entry);
     TellAdded(entry);
     return;
   }
-  const Incarnation known = it->second.entry.id.life;
-  if (entry.id.life == known) {
+  const Incarnation known = it->second.entry.id.incarnation;
+  if (entry.id.incarnation == known) {
     Update(&it->second, entry);
-  } else if (entry.id.life == 0) {
+  } else if (entry.id.incarnation == 0) {
     PutUnreadable(entry.id.name);  // Its own rows told the start.
-  } else if (entry.id.life < known) {
-    watcher_->OnReplica(entry, DirectoryChange::kOlderLife);
+  } else if (entry.id.incarnation < known) {
+    watcher_->OnReplica(entry, DirectoryChange::kOlderIncarnation);
   } else {
     Restart(it->second.entry, entry);
   }
@@ -98,7 +98,7 @@
 void ReplicaDirectory::Restart(const ReplicaEntry& known,
                                const ReplicaEntry& entry) {
   const ReplicaEntry before = known;  // Its row is written over.
-  const bool told = before.id.life != 0;
+  const bool told = before.id.incarnation != 0;
   List(entry);
   watcher_->OnReplica(
       before, told ? DirectoryChange::kRestarted : DirectoryChange::kGone);
@@ -198,11 +198,11 @@
   }
 }
 
-void ReplicaDirectory::TakeBack(TimeUs now, const std::string& domain) {
+void ReplicaDirectory::EndEvacuation(TimeUs now, const std::string& domain) {
   evacuated_.erase(domain);
   for (auto& [name, row] : entries_) {
     if (row.entry.domain == domain) {
-      row.entry.back_at = now;
+      row.entry.evacuation_ended_at = now;
       Place(&row);
     }
   }
@@ -229,7 +229,8 @@
 
 // An address that two rows name, as when it is used again or another writer
 // names it too, belongs to the one that takes work, or else to the first.
-const ReplicaEntry* ReplicaDirectory::MakerOf(std::string_view handle) const {
+const ReplicaEntry* ReplicaDirectory::ProducerOf(
+    std::string_view handle) const {
   const auto it = by_address_.find(KeyOf(handle.substr(0, handle.find('/'))));
   if (it == by_address_.end()) {
     return nullptr;
@@ -258,8 +259,8 @@
 bool ReplicaDirectory::Takes(const Row& row) const {
   return !row.entry.leaving && !row.unreadable &&
          !evacuated_.contains(row.entry.domain) &&
-         (row.entry.id.life != 0 ||
-          services_.at(row.entry.service).lives_told == 0);
+         (row.entry.id.incarnation != 0 ||
+          services_.at(row.entry.service).incarnations_told == 0);
 }
 
 void ReplicaDirectory::Erase(TimeUs now, Rows::iterator it) {
@@ -268,8 +269,8 @@
   RemoveFromIndexes(&it->second);
   missing_.erase(entry.id.name);
   entries_.erase(it);
-  if (entry.id.life != 0) {
-    ended_[entry.id.name] = {entry.id.life, entry.leaving, now};
+  if (entry.id.incarnation != 0) {
+    ended_[entry.id.name] = {entry.id.incarnation, entry.leaving, now};
   }
   watcher_->OnReplica(entry, DirectoryChange::kGone);
 }
@@ -278,9 +279,9 @@
   row->address = AddressText(row->entry.address);
   by_address_[row->address].push_back(row);
   ServiceRows& service = services_[row->entry.service];
-  if (row->entry.id.life == 0) {
+  if (row->entry.id.incarnation == 0) {
     service.untold.insert(row);
-  } else if (service.lives_told++ == 0) {
+  } else if (service.incarnations_told++ == 0) {
     for (Row* it : service.untold) {
       Place(it);
     }
@@ -297,14 +298,14 @@
   Unplace(row);
   const auto service = services_.find(row->entry.service);
   ServiceRows& rows = service->second;
-  if (row->entry.id.life == 0) {
+  if (row->entry.id.incarnation == 0) {
     rows.untold.erase(row);
-  } else if (--rows.lives_told == 0) {
+  } else if (--rows.incarnations_told == 0) {
     for (Row* it : rows.untold) {
       Place(it);
     }
   }
-  if (rows.lives_told == 0 && rows.untold.empty()) {
+  if (rows.incarnations_told == 0 && rows.untold.empty()) {
     services_.erase(service);
   }
 }
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -43,17 +43,18 @@
 struct ReplicaId {
   ReplicaId() = default;
   // Implicit, because a name alone stands for a life whose start is not told.
-  ReplicaId(std::string name_in, Incarnation life_in = 0)
-      : name(std::move(name_in)), life(life_in) {}
+  ReplicaId(std::string name_in, Incarnation incarnation_in = 0)
+      : name(std::move(name_in)), incarnation(incarnation_in) {}
   ReplicaId(const char* name_in) : name(name_in) {}
 
   std::string name;
-  Incarnation life = 0;  // Its start, in Unix milliseconds; zero: not told.
+  Incarnation incarnation =
+      0;  // Its start, in Unix milliseconds; zero: not told.
 
   auto operator<=>(const ReplicaId&) const = default;
   template <typename H>
   friend H AbslHashValue(H hash, const ReplicaId& id) {
-    return H::combine(std::move(hash), id.name, id.life);
+    return H::combine(std::move(hash), id.name, id.incarnation);
   }
 };
 
@@ -64,8 +65,9 @@
   std::string domain;  // Failure domain.
   std::uint32_t slots = 1;
   bool leaving = false;
-  TimeUs cold_until = 0;     // By what its rows said; they only put it off.
-  TimeUs back_at = 0;        // Its failure domain was taken back; zero: never.
+  TimeUs cold_until = 0;  // By what its rows said; they only put it off.
+  TimeUs evacuation_ended_at =
+      0;                     // Its failure domain was taken back; zero: never.
   std::uint64_t orders = 0;  // Accepted by it in this life; never falls.
 };
 
@@ -78,7 +80,7 @@
   kKeptInOutage,  // Its entry vanished; it may live.
   kUnreadable,    // Its entry names no replica until it can be read again.
   kReadable,
-  kOlderLife,  // A row of a life that had ended; passed over.
+  kOlderIncarnation,  // A row of a life that had ended; passed over.
   kCountFell,  // Its orders fell within one life: not the replica's own row.
 };
 inline constexpr std::array<std::string_view, 9> kDirectoryChangeNames = {
@@ -133,7 +135,7 @@
   // No new work goes to replicas in the failure domain, those listed later
   // included, until it is taken back.
   void Evacuate(const std::string& domain);
-  void TakeBack(TimeUs now, const std::string& domain);
+  void EndEvacuation(TimeUs now, const std::string& domain);
   bool IsEvacuated(const std::string& domain) const {
     return evacuated_.contains(domain);
   }
@@ -146,7 +148,7 @@
   const ReplicaEntry* Find(const ReplicaId& id) const;
   // The replica that made a result, whose handle begins with the replica's
   // address and a slash; null when none is listed there.
-  const ReplicaEntry* MakerOf(std::string_view handle) const;
+  const ReplicaEntry* ProducerOf(std::string_view handle) const;
   bool TakesWork(const ReplicaId& id) const;
   std::size_t size() const { return entries_.size(); }
   // How old the list is; negative: nothing was told yet.
@@ -166,11 +168,11 @@
   struct ServiceRows {
     std::vector<const ReplicaEntry*> taking;  // Entries that take new work.
     std::vector<Row*> rows;                   // The same, in the same order.
-    std::size_t lives_told = 0;  // Of all its rows, those that tell it.
+    std::size_t incarnations_told = 0;  // Of all its rows, those that tell it.
     absl::flat_hash_set<Row*> untold;
   };
   struct Ended {
-    Incarnation life = 0;
+    Incarnation incarnation = 0;
     bool left = false;  // Said that it leaves, which is for good.
     TimeUs at = 0;
   };
@@ -204,7 +206,7 @@
   TimeUs forget_ended_at_ = 0;
   std::uint64_t added_ = 0;
   absl::node_hash_map<std::string, ServiceRows> services_;
-  // Usually one row an address; see `MakerOf`.
+  // Usually one row an address; see `ProducerOf`.
   absl::flat_hash_map<std::string, std::vector<Row*>> by_address_;
   TimeUs known_at_ = -1;
   bool store_lost_ = false;
--- a/src/state/serving_config.h
+++ b/src/state/serving_config.h
@@ -55,7 +55,7 @@
   // How long a client waits for the first event of a stream, as the platform
   // states it: two seconds, four times the target or eight pauses, whichever is
   // longest.
-  DurationUs FirstEventPatience() const {
+  DurationUs FirstEventTimeout() const {
     return std::max({2 * kSecond, 4 * target, 8 * pause});
   }
 
@@ -67,12 +67,12 @@
 
 // A service that makes the pieces of stages.
 struct BatchLimits {
-  std::uint32_t slots = 1;       // Calls in progress at one replica.
-  std::uint32_t queue = 0;       // Calls that may wait there.
-  std::uint32_t batch = 1;       // Pieces a call.
-  DurationUs call = 0;           // Time of a call, whatever it holds.
-  DurationUs piece = 0;          // Time that each piece adds.
-  std::uint64_t room_bytes = 0;  // For results, at one replica.
+  std::uint32_t slots = 1;                // Calls in progress at one replica.
+  std::uint32_t queue = 0;                // Calls that may wait there.
+  std::uint32_t batch = 1;                // Pieces a call.
+  DurationUs call = 0;                    // Time of a call, whatever it holds.
+  DurationUs piece = 0;                   // Time that each piece adds.
+  std::uint64_t result_memory_bytes = 0;  // For results, at one replica.
   DurationUs result_life = 0;
 };
 
--- a/src/types.h
+++ b/src/types.h
@@ -137,11 +137,11 @@
 
 // What is held against a request that was in progress when an upstream died.
 // In the order in which one outranks another.
-enum class Standing { kClear, kSuspect, kConvicted };
-inline constexpr std::array<std::string_view, 3> kStandingNames = {
+enum class QuarantineState { kClear, kSuspect, kConvicted };
+inline constexpr std::array<std::string_view, 3> kQuarantineStateNames = {
     "clear", "suspect", "convicted"};
-constexpr std::string_view Name(Standing v) {
-  return detail::NameIn(kStandingNames, v);
+constexpr std::string_view Name(QuarantineState v) {
+  return detail::NameIn(kQuarantineStateNames, v);
 }
 
 // Why a request was refused or failed. `kRefusals` gives each its HTTP status.
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -81,12 +81,12 @@
   EXPECT_FALSE(rig.directory.TakesWork("r"));
 }
 
-TEST(ReplicaDirectoryTest, FindsTheMakerOfAResult) {
+TEST(ReplicaDirectoryTest, FindsTheProducerOfAResult) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("r"));
-  ASSERT_NE(rig.directory.MakerOf("10.0.0.1:80/x"), nullptr);
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id, "r");
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.2:80/x"), nullptr);
+  ASSERT_NE(rig.directory.ProducerOf("10.0.0.1:80/x"), nullptr);
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id, "r");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.2:80/x"), nullptr);
 }
 
 // A replica that left is stopped, repaired and started again under its name.
@@ -105,7 +105,7 @@
 
 // A row of a life that is over is read late, before and after the replica was
 // taken off the list: it brings nothing back and takes nothing away.
-TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierLife) {
+TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierIncarnation) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -120,7 +120,7 @@
 
 // A replica leaves, its entry goes, and a row from before is read again: it
 // gets nothing new in that life.
-TEST(ReplicaDirectoryTest, RemembersThatALifeLeftAfterItsEntryWent) {
+TEST(ReplicaDirectoryTest, RemembersThatAnIncarnationLeftAfterItsEntryWent) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
   rig.directory.Remove(0, "r");
@@ -161,7 +161,7 @@
   EXPECT_TRUE(rig.directory.TakesWork({"r", 5}));
 }
 
-TEST(ReplicaDirectoryTest, SaysThatACountFellWithinOneLife) {
+TEST(ReplicaDirectoryTest, SaysThatACountFellWithinOneIncarnation) {
   DirectoryRig rig;
   ReplicaEntry entry = DirectoryRig::Entry({"r", 5});
   entry.orders = 9;
@@ -169,7 +169,7 @@
   entry.orders = 3;
   rig.directory.Put(entry);
   EXPECT_EQ(rig.changes.back(), "r count_fell");
-  entry.id.life = 6;
+  entry.id.incarnation = 6;
   entry.orders = 0;
   rig.directory.Put(entry);
   EXPECT_EQ(rig.changes.back(), "r added");
@@ -177,15 +177,15 @@
 
 // A result's maker is found by its address. An entry by another writer that
 // names the same address does not take it over.
-TEST(ReplicaDirectoryTest, FindsTheMakerAmongEntriesOfOneAddress) {
+TEST(ReplicaDirectoryTest, FindsTheProducerAmongEntriesOfOneAddress) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("real"));
   ReplicaEntry foreign = DirectoryRig::Entry("a-foreign");
   foreign.service = "unheard-of";
   rig.directory.Put(foreign);
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id.name, "real");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id.name, "real");
   rig.directory.Put(DirectoryRig::Entry("real", true));
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id.name, "a-foreign");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id.name, "a-foreign");
 }
 
 }  // namespace
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -144,7 +144,7 @@
   driver.Run(kSecond);
   const auto records = driver.entry(1).quarantine().All(driver.now());
   ASSERT_EQ(records.size(), 1);
-  EXPECT_EQ(records[0].standing, Standing::kConvicted);
+  EXPECT_EQ(records[0].quarantine_state, QuarantineState::kConvicted);
   EXPECT_EQ(records[0].account, "office");
   driver.crashes = nullptr;
   ASSERT_TRUE(
@@ -190,7 +190,8 @@
   ASSERT_EQ(rig.failures.size(), 1);
   EXPECT_TRUE(rig.failures[0].crashed);
   ASSERT_EQ(rig.failures[0].quarantined.size(), 1);
-  EXPECT_EQ(rig.failures[0].quarantined[0].standing, Standing::kSuspect);
+  EXPECT_EQ(rig.failures[0].quarantined[0].quarantine_state,
+            QuarantineState::kSuspect);
 }
 
 // An entry that does not know of the conviction sends a convicted request. The
@@ -198,8 +199,12 @@
 TEST(QuarantineTest, SidecarRefusesAConvictionUnknownToTheEntry) {
   SidecarRig rig;
   Heartbeat heartbeat;
-  heartbeat.quarantined = {
-      {9, 2, Standing::kConvicted, 0, "office", {"orders-2", "orders-3"}}};
+  heartbeat.quarantined = {{9,
+                            2,
+                            QuarantineState::kConvicted,
+                            0,
+                            "office",
+                            {"orders-2", "orders-3"}}};
   rig.core.OnHeartbeat(rig.now, "entry-1", 6, heartbeat);
   StageCall call = rig.Call(1);
   call.fingerprint = 9;
@@ -242,8 +247,9 @@
   rig.Deliver(convicted);
   rig.Deliver(suspect);
   Heartbeat heartbeat;
-  heartbeat.quarantined = {{9, 0, Standing::kConvicted, 0, "office", {"x"}},
-                           {10, 0, Standing::kSuspect, 0, "office", {"x"}}};
+  heartbeat.quarantined = {
+      {9, 0, QuarantineState::kConvicted, 0, "office", {"x"}},
+      {10, 0, QuarantineState::kSuspect, 0, "office", {"x"}}};
   rig.core.OnHeartbeat(rig.now, "entry-1", 6, heartbeat);
   rig.Deliver(rig.Call(4));
   rig.Answer(0);
@@ -273,29 +279,30 @@
 
 TEST(QuarantineTest, MergeDoesNotDependOnOrder) {
   const std::vector<QuarantineRecord> records = {
-      {9, 0, Standing::kSuspect, 0, "a", {"x"}},
-      {9, 0, Standing::kConvicted, 0, "a", {"x", "y"}},
-      {9, 1, Standing::kClear, 0, "a", {}}};
+      {9, 0, QuarantineState::kSuspect, 0, "a", {"x"}},
+      {9, 0, QuarantineState::kConvicted, 0, "a", {"x", "y"}},
+      {9, 1, QuarantineState::kClear, 0, "a", {}}};
   Quarantine forward;
   Quarantine backward;
   for (std::size_t n = 0; n < records.size(); ++n) {
     forward.Merge(kSecond, {records[n]});
     backward.Merge(kSecond, {records[records.size() - 1 - n]});
   }
-  EXPECT_EQ(forward.Of(kSecond, 9), Standing::kClear);
-  EXPECT_EQ(backward.Of(kSecond, 9), Standing::kClear);
+  EXPECT_EQ(forward.Of(kSecond, 9), QuarantineState::kClear);
+  EXPECT_EQ(backward.Of(kSecond, 9), QuarantineState::kClear);
 }
 
 // A pool that crashes all day must not exhaust memory, and the least important
 // records are evicted first.
 TEST(QuarantineTest, MemoryIsBounded) {
   Quarantine quarantine;
-  quarantine.Merge(kSecond, {{1, 1, Standing::kConvicted, 0, "a", {"x"}}});
+  quarantine.Merge(kSecond,
+                   {{1, 1, QuarantineState::kConvicted, 0, "a", {"x"}}});
   for (std::uint64_t n = 2; n < 3 * Quarantine::kMaxRecords; ++n) {
     quarantine.OnCrash(2 * kSecond, "x", {{n, "a"}, {n + 1, "a"}});
   }
   EXPECT_EQ(quarantine.size(), Quarantine::kMaxRecords);
-  EXPECT_EQ(quarantine.Of(2 * kSecond, 1), Standing::kConvicted);
+  EXPECT_EQ(quarantine.Of(2 * kSecond, 1), QuarantineState::kConvicted);
   EXPECT_EQ(quarantine.Told(2 * kSecond).size(),
             Quarantine::kMaxRecordsPerHeartbeat);
 }
--- a/tests/currency_test.cc
+++ b/tests/settings_freshness_test.cc
@@ -1,6 +1,6 @@
 // Tests the answers of an entry that cannot prove that its settings are in
 // force.
-#include "coordination/settings/currency.h"
+#include "coordination/settings/settings_freshness.h"
 
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 namespace acaciachute {
 namespace {
 
-class FixedSettingsFreshness : public Currency {
+class FixedSettingsFreshness : public SettingsFreshness {
  public:
   bool IsCurrent(TimeUs now) const override { return now >= current_from; }
   TimeUs current_from = 0;
