--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -8,7 +8,8 @@
 namespace acaciachute {
 namespace {
 
-// Each look goes over all gateways; a fifth of the shortest period of beats.
+// Each look goes over all gateways; a fifth of the shortest period of
+// heartbeats.
 constexpr DurationUs kPeersPeriod = GatewayPeers::kGatewayHeartbeatPeriod / 5;
 constexpr DurationUs kKnownPeriod = 250 * kMillisecond;
 // From reading the others' rows until all have heard of this gateway, some
--- a/src/messages.h
+++ b/src/messages.h
@@ -198,8 +198,8 @@
   bool can_check_keys = false;  // Whether it may check keys now.
   double cores = 1;             // Share of a processor core that it is given.
   std::string domain;           // Failure domain of its host.
-  DurationUs period = 150 * kMillisecond;  // Until its next beat, at most.
-  bool requests_reply = false;             // For a beat at once.
+  DurationUs period = 150 * kMillisecond;  // Until its next heartbeat, at most.
+  bool requests_reply = false;             // Of a heartbeat, at once.
   std::vector<EngineWork> work;
   std::vector<ServiceQueueWait> waits;
 };
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -42,14 +42,15 @@
 // One incarnation of a replica, from its start to its end.
 struct ReplicaId {
   ReplicaId() = default;
-  // Implicit, because a name alone stands for a life whose start is not told.
+  // Implicit, because a name alone stands for an incarnation whose start is not
+  // told.
   ReplicaId(std::string name_in, Incarnation incarnation_in = 0)
       : name(std::move(name_in)), incarnation(incarnation_in) {}
   ReplicaId(const char* name_in) : name(name_in) {}
 
   std::string name;
-  Incarnation incarnation =
-      0;  // Its start, in Unix milliseconds; zero: not told.
+  // Its start, in Unix milliseconds; zero: not told.
+  Incarnation incarnation = 0;
 
   auto operator<=>(const ReplicaId&) const = default;
   template <typename H>
@@ -66,9 +67,8 @@
   std::uint32_t slots = 1;
   bool leaving = false;
   TimeUs cold_until = 0;  // By what its rows said; they only put it off.
-  TimeUs evacuation_ended_at =
-      0;                     // Its failure domain was taken back; zero: never.
-  std::uint64_t orders = 0;  // Accepted by it in this life; never falls.
+  TimeUs evacuation_ended_at = 0;  // Of its failure domain; zero: never.
+  std::uint64_t orders = 0;  // Accepted by it in this incarnation; never falls.
 };
 
 // What became of an entry, for logs and for those who keep state by replica.
@@ -80,8 +80,8 @@
   kKeptInOutage,  // Its entry vanished; it may live.
   kUnreadable,    // Its entry names no replica until it can be read again.
   kReadable,
-  kOlderIncarnation,  // A row of a life that had ended; passed over.
-  kCountFell,  // Its orders fell within one life: not the replica's own row.
+  kOlderIncarnation,  // A row of an incarnation that had ended; passed over.
+  kCountFell,  // Its orders fell in one incarnation: not the replica's own row.
 };
 inline constexpr std::array<std::string_view, 9> kDirectoryChangeNames = {
     "added",      "leaving",  "gone",       "restarted", "kept_in_outage",
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -103,8 +103,9 @@
   EXPECT_EQ(rig.directory.Find({"r", 5}), nullptr);
 }
 
-// A row of a life that is over is read late, before and after the replica was
-// taken off the list: it brings nothing back and takes nothing away.
+// A row of an incarnation that is over is read late, before and after the
+// replica was taken off the list: it brings nothing back and takes nothing
+// away.
 TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierIncarnation) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
@@ -119,7 +120,7 @@
 }
 
 // A replica leaves, its entry goes, and a row from before is read again: it
-// gets nothing new in that life.
+// gets nothing new in that incarnation.
 TEST(ReplicaDirectoryTest, RemembersThatAnIncarnationLeftAfterItsEntryWent) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
