--- a/src/transport/glib_ptr.h
+++ b/src/transport/glib_ptr.h
@@ -1,4 +1,5 @@
-// Ownership of GLib objects.
+// Smart pointers that own GLib objects, and conversions between `GBytes` and
+// `std::string`.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_GLIB_PTR_H_
 #define ACACIACHUTE_SRC_TRANSPORT_GLIB_PTR_H_
 
@@ -16,7 +17,7 @@
 template <typename T>
 using GPtr = std::unique_ptr<T, GObjectUnref>;
 
-// Another reference to an object that somebody else owns.
+// Returns an owning pointer that holds a reference of its own to `object`.
 template <typename T>
 GPtr<T> Share(T* object) {
   return GPtr<T>(static_cast<T*>(g_object_ref(object)));
--- a/src/transport/http_channels.cc
+++ b/src/transport/http_channels.cc
@@ -14,15 +14,18 @@
 namespace acaciachute {
 namespace {
 
-// A connection whose other side does not say how long it keeps it.
-constexpr DurationUs kDefaultKeep = 4 * kSecond;
-// Used only up to this share of the time that the other side states: its clock
-// started before the answer arrived here.
-constexpr double kKeepShare = 0.7;
-constexpr DurationUs kSweep = 250 * kMillisecond;
-
-// The time stated in a Keep-Alive field, in whole seconds.
-std::optional<DurationUs> StatedKeep(const HttpFields& fields) {
+// How long an idle connection is kept when the server states no Keep-Alive
+// timeout.
+constexpr DurationUs kDefaultIdleTimeout = 4 * kSecond;
+// An idle connection is used for this share of the Keep-Alive timeout that the
+// server states, because the server's timer started before the answer arrived
+// here.
+constexpr double kIdleTimeoutShare = 0.7;
+constexpr DurationUs kSweepPeriod = 250 * kMillisecond;
+
+// Returns the `timeout` parameter of the Keep-Alive field, which is in whole
+// seconds.
+std::optional<DurationUs> StatedIdleTimeout(const HttpFields& fields) {
   const std::string* field = FindField(fields, "keep-alive");
   if (field == nullptr) {
     return std::nullopt;
@@ -48,7 +51,7 @@
   class Channel;
 
   explicit Impl(Loop* loop_in) : loop(loop_in) {
-    sweep = loop->Every(kSweep, [this] { Sweep(); });
+    sweep = loop->Every(kSweepPeriod, [this] { Sweep(); });
   }
   ~Impl() { loop->Cancel(sweep); }
 
@@ -66,7 +69,7 @@
   const std::shared_ptr<const int> alive = std::make_shared<const int>();
 };
 
-// One connection, and the call that it carries.
+// One connection and the call in progress on it, if any.
 class HttpChannels::Impl::Channel : public SocketHandler {
  public:
   Channel(Impl* owner, Address address)
@@ -77,7 +80,7 @@
     }
   }
 
-  // The connection itself; a failure is reported from the loop like any other.
+  // Starts to connect. A failure is reported from the loop, as all others are.
   void Open() {
     auto stream =
         SocketStream::Connect(owner_->loop->sockets(), address_, this);
@@ -100,30 +103,32 @@
              CallSink* sink) {
     id_ = id;
     sink_ = sink;
-    echo_ = request.echo;
+    expected_echo_ = request.echo;
     started_ = Loop::Now();
-    connect_by_ = started_ + options.connect;
-    end_by_ = options.total > 0 ? started_ + options.total : 0;
-    most_kept_ = std::min(kMostIdle, options.most_kept.value_or(kMostIdle));
-    to_head_ = request.method == "HEAD";
-    reader_.emplace(to_head_);
-    told_head_ = false;
-    passing_over_ = false;
+    connect_deadline_ = started_ + options.connect;
+    answer_deadline_ = options.total > 0 ? started_ + options.total : 0;
+    max_kept_ = std::min(kMaxIdlePerAddress,
+                         options.most_kept.value_or(kMaxIdlePerAddress));
+    is_head_request_ = request.method == "HEAD";
+    reader_.emplace(is_head_request_);
+    head_delivered_ = false;
+    discarding_ = false;
     HttpFields fields = request.fields;
     if (!request.body.empty() || request.method != "GET") {
       fields.push_back({"Content-Length", std::to_string(request.body.size())});
     }
-    pending_ = WriteRequestHead(request.method, request.target, fields);
-    pending_ += request.body;
+    unsent_request_ = WriteRequestHead(request.method, request.target, fields);
+    unsent_request_ += request.body;
     if (stream_ != nullptr && stream_->connected()) {
       SendPending();
     }
   }
 
-  // Expired connections are looked for now and then; one that is made between
-  // is too late as well: whoever chose the address may know better by now.
+  // `Sweep` checks the deadlines only every `kSweepPeriod`. A connection that
+  // is established after its deadline but before the next sweep is rejected
+  // here: the caller may prefer another address by now.
   void OnConnected() override {
-    if (id_ != 0 && Loop::Now() > connect_by_) {
+    if (id_ != 0 && Loop::Now() > connect_deadline_) {
       Fail(CallFailureKind::kConnect, "no connection in time");
       return;
     }
@@ -135,10 +140,10 @@
 
   void OnBytes(std::string_view bytes) override {
     if (id_ == 0) {
-      owner_->Remove(this);  // Nobody asked for these.
+      owner_->Remove(this);  // Bytes that belong to no request.
       return;
     }
-    in_ += bytes;
+    input_ += bytes;
     // Callbacks may cancel the call, which removes this channel.
     Impl* owner = owner_;
     while (owner->channels.contains(this) && id_ != 0 && Step()) {
@@ -152,8 +157,8 @@
     }
     const bool in_order = error == nullptr;
     if (in_order && reader_->ReadEnd() == HttpAnswerReader::State::kDone &&
-        !passing_over_) {
-      broken_ = true;
+        !discarding_) {
+      closed_by_peer_ = true;
       Finish();
       return;
     }
@@ -167,18 +172,19 @@
     }
   }
 
-  bool FreshEnough(TimeUs now, DurationUs most_idle) const {
-    return now - idle_since_ <= std::min(most_idle, keep_);
+  bool IsFresh(TimeUs now, DurationUs most_idle) const {
+    return now - idle_since_ <= std::min(most_idle, idle_timeout_);
   }
 
-  // Ends what has taken too long; true when the channel is to be removed.
+  // Fails the call if a deadline has passed. Returns true if the idle
+  // connection has expired and is to be removed.
   bool Expired(TimeUs now) {
     if (id_ == 0) {
-      return now - idle_since_ > keep_;
+      return now - idle_since_ > idle_timeout_;
     }
-    if (!sent_ && now > connect_by_) {
+    if (!sent_ && now > connect_deadline_) {
       Fail(CallFailureKind::kConnect, "no connection in time");
-    } else if (end_by_ != 0 && now > end_by_) {
+    } else if (answer_deadline_ != 0 && now > answer_deadline_) {
       Fail(CallFailureKind::kTimeout, "no answer in time");
     }
     return false;
@@ -189,17 +195,18 @@
 
  private:
   void SendPending() {
-    if (pending_.empty()) {
+    if (unsent_request_.empty()) {
       return;
     }
     sent_ = true;
-    stream_->Write(pending_);
-    pending_.clear();
+    stream_->Write(unsent_request_);
+    unsent_request_.clear();
   }
 
-  // Reads on in what has arrived; true while there is more to do.
+  // Parses the bytes received so far. Returns true if more can be parsed at
+  // once.
   bool Step() {
-    const auto state = reader_->Read(&in_);
+    const auto state = reader_->Read(&input_);
     if (state == HttpAnswerReader::State::kBad) {
       Fail(CallFailureKind::kBadAnswer, reader_->error());
       return false;
@@ -207,50 +214,50 @@
     if (state == HttpAnswerReader::State::kHead) {
       return false;
     }
-    if (!told_head_ && !passing_over_) {
-      passing_over_ = OfAnotherRequest(reader_->head());
+    if (!head_delivered_ && !discarding_) {
+      discarding_ = IsForAnotherRequest(reader_->head());
     }
-    if (passing_over_) {
-      return PassOver(state);
+    if (discarding_) {
+      return DiscardAnswer(state);
     }
-    return Tell(state);
+    return Deliver(state);
   }
 
-  bool OfAnotherRequest(const HttpAnswerHead& head) const {
-    if (!echo_) {
+  bool IsForAnotherRequest(const HttpAnswerHead& head) const {
+    if (!expected_echo_) {
       return false;
     }
-    const std::string* id = FindField(head.fields, echo_->name);
-    return id != nullptr && *id != echo_->value;
+    const std::string* id = FindField(head.fields, expected_echo_->name);
+    return id != nullptr && *id != expected_echo_->value;
   }
 
-  bool PassOver(HttpAnswerReader::State state) {
+  bool DiscardAnswer(HttpAnswerReader::State state) {
     reader_->TakeBody();
     if (state != HttpAnswerReader::State::kDone) {
       return false;
     }
-    passing_over_ = false;
-    reader_.emplace(to_head_);
-    return !in_.empty();
+    discarding_ = false;
+    reader_.emplace(is_head_request_);
+    return !input_.empty();
   }
 
-  bool Tell(HttpAnswerReader::State state) {
+  bool Deliver(HttpAnswerReader::State state) {
     Impl* owner = owner_;
     const CallId id = id_;
-    const auto still_ours = [&] {
+    const auto still_running = [&] {
       return owner->channels.contains(this) && id_ == id;
     };
-    if (!told_head_) {
-      told_head_ = true;
+    if (!head_delivered_) {
+      head_delivered_ = true;
       sink_->OnAnswerHead(id, reader_->head());
-      if (!still_ours()) {
+      if (!still_running()) {
         return false;
       }
     }
     const std::string body = reader_->TakeBody();
     if (!body.empty()) {
       sink_->OnAnswerBody(id, body);
-      if (!still_ours()) {
+      if (!still_running()) {
         return false;
       }
     }
@@ -260,19 +267,20 @@
     return false;
   }
 
-  // Keeps the connection when nothing is left over on either side.
+  // Ends the call. The connection is kept for reuse if neither side has unread
+  // or unsent bytes of this call.
   void Finish() {
     const CallId id = std::exchange(id_, 0);
     CallSink* sink = std::exchange(sink_, nullptr);
     Impl* owner = owner_;
     owner->calls.erase(id);
-    const bool keep = !broken_ && reader_->head().keep_alive && in_.empty() &&
-                      stream_->unsent() == 0;
+    const bool keep = !closed_by_peer_ && reader_->head().keep_alive &&
+                      input_.empty() && stream_->unsent() == 0;
     if (keep) {
-      Keep();
-    } else if (!broken_ && stream_->unsent() > 0 && in_.empty()) {
-      // The other side answered before it read the whole request. It still
-      // reads on, and the rest of the body is due on this connection.
+      KeepIdle();
+    } else if (!closed_by_peer_ && stream_->unsent() > 0 && input_.empty()) {
+      // The server answered before it had read the whole request. It may still
+      // read, so the rest of the body is sent before the connection is closed.
       closing_ = true;
       stream_->FinishWriting();
       idle_since_ = Loop::Now();
@@ -282,16 +290,16 @@
     sink->OnAnswerEnd(id);
   }
 
-  void Keep() {
+  void KeepIdle() {
     idle_since_ = Loop::Now();
-    const auto stated = StatedKeep(reader_->head().fields);
-    keep_ =
-        stated
-            ? static_cast<DurationUs>(kKeepShare * static_cast<double>(*stated))
-            : kDefaultKeep;
+    const auto stated = StatedIdleTimeout(reader_->head().fields);
+    idle_timeout_ = stated
+                        ? static_cast<DurationUs>(kIdleTimeoutShare *
+                                                  static_cast<double>(*stated))
+                        : kDefaultIdleTimeout;
     stream_->SetReading(true);
     auto& idle = owner_->idle[address_];
-    if (keep_ == 0 || idle.size() >= most_kept_) {
+    if (idle_timeout_ == 0 || idle.size() >= max_kept_) {
       owner_->Remove(this);
       return;
     }
@@ -304,7 +312,7 @@
     CallSink* sink = std::exchange(sink_, nullptr);
     Impl* owner = owner_;
     owner->calls.erase(id);
-    owner->Remove(this);  // `this` is gone.
+    owner->Remove(this);  // `this` is deleted.
     if (sink != nullptr) {
       sink->OnCallFailed(id, failure);
     }
@@ -314,22 +322,22 @@
   const Address address_;
   std::shared_ptr<SocketStream> stream_;
   std::optional<HttpAnswerReader> reader_;
-  std::string in_;
-  std::string pending_;  // Until the connection is made.
-  CallId id_ = 0;        // Zero: idle.
+  std::string input_;
+  std::string unsent_request_;  // Buffered until connected.
+  CallId id_ = 0;               // Zero while the connection is idle.
   CallSink* sink_ = nullptr;
-  std::optional<HttpField> echo_;
+  std::optional<HttpField> expected_echo_;
   TimeUs started_ = 0;
-  TimeUs connect_by_ = 0;
-  TimeUs end_by_ = 0;
+  TimeUs connect_deadline_ = 0;
+  TimeUs answer_deadline_ = 0;
   TimeUs idle_since_ = 0;
-  DurationUs keep_ = kDefaultKeep;
-  std::size_t most_kept_ = kMostIdle;
-  bool sent_ = false;  // Any byte of the present request.
-  bool to_head_ = false;
-  bool told_head_ = false;
-  bool passing_over_ = false;
-  bool broken_ = false;
+  DurationUs idle_timeout_ = kDefaultIdleTimeout;
+  std::size_t max_kept_ = kMaxIdlePerAddress;
+  bool sent_ = false;  // Whether a byte of the current request was sent.
+  bool is_head_request_ = false;
+  bool head_delivered_ = false;
+  bool discarding_ = false;
+  bool closed_by_peer_ = false;
   bool closing_ = false;
 
   friend struct HttpChannels::Impl;
@@ -342,12 +350,14 @@
   if (it == idle.end() || it->second.empty()) {
     return nullptr;
   }
-  // The one used last is the least likely to have been closed meanwhile.
+  // The most recently used connection is the least likely to have been closed
+  // by the server.
   Channel* channel = it->second.back();
-  if (!channel->FreshEnough(Loop::Now(), most_idle)) {
-    // All others have been idle for longer. The new connection takes the place
-    // of the oldest, or requests that need a fresh one would leave a trail of
-    // idle ones until the replica takes no more.
+  if (!channel->IsFresh(Loop::Now(), most_idle)) {
+    // All others have been idle for longer. The oldest is closed in exchange
+    // for the new connection; otherwise each request that needs a fresh
+    // connection would add an idle one, until the replica refuses further
+    // connections.
     Remove(it->second.front());
     return nullptr;
   }
--- a/src/transport/http_channels.h
+++ b/src/transport/http_channels.h
@@ -1,12 +1,13 @@
-// HTTP/1.1 towards replicas and the platform, over connections under the
-// caller's control.
+// HTTP/1.1 client for calls to replicas and the platform, with connection reuse
+// under the caller's control.
 //
-// Failure: a client library opens a second connection and sends a request again
-// by itself when a kept connection turns out closed. Symptom: a request that
-// must run once runs twice. Here a request is sent on one connection, once, and
-// the caller is told whether any of it may have arrived. Bytes that no request
-// asked for end their connection, and an answer that bears another request's id
-// is passed over, so that no answer reaches the wrong request.
+// General client libraries open a second connection and resend a request by
+// themselves when a kept connection turns out to be closed, so that a request
+// that must run once runs twice. Here a request is sent at most once, on one
+// connection, and a failure states whether any byte of it may have been sent. A
+// connection that receives bytes without a request is closed, and an answer
+// that carries another request's id is discarded, so that no answer is
+// delivered to the wrong request.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_HTTP_CHANNELS_H_
 #define ACACIACHUTE_SRC_TRANSPORT_HTTP_CHANNELS_H_
 
@@ -33,7 +34,7 @@
 
 struct CallFailure {
   CallFailureKind kind = CallFailureKind::kConnect;
-  // Whether any byte may have reached the other side.
+  // Whether any byte of the request may have reached the server.
   bool sent = false;
   std::string reason;
 };
@@ -41,11 +42,13 @@
 class CallSink {
  public:
   virtual ~CallSink() = default;
-  // The request left on a connection that was made for it.
+  // The call's new connection is established and the request is sent. Not
+  // called when an idle connection is reused.
   virtual void OnConnected(CallId id) { static_cast<void>(id); }
   virtual void OnAnswerHead(CallId id, const HttpAnswerHead& head) = 0;
   virtual void OnAnswerBody(CallId id, std::string_view bytes) = 0;
-  // One of these ends the call, unless it is cancelled.
+  // Unless the call is cancelled, it ends with exactly one call of
+  // `OnAnswerEnd` or `OnCallFailed`.
   virtual void OnAnswerEnd(CallId id) = 0;
   virtual void OnCallFailed(CallId id, const CallFailure& failure) = 0;
 };
@@ -53,29 +56,31 @@
 struct ChannelRequest {
   std::string method = "GET";
   std::string target;
-  HttpFields fields;  // Without the body's length.
+  HttpFields fields;  // Without Content-Length, which is added.
   std::string body;
-  // A field that the answer must repeat, with its value.
+  // A field that the server repeats in its answer. An answer with another value
+  // of it belongs to another request and is discarded.
   std::optional<HttpField> echo;
 };
 
 struct ChannelOptions {
-  // A connection that has been idle for longer is not used for this request.
+  // Maximum idle time of a connection that is reused for this request.
   DurationUs most_idle = 4 * kSecond;
-  // Until the connection is made. Far above a round trip; a lost opening packet
-  // is only sent again after a second.
+  // Time limit for connecting. Far above a round trip, but shorter than the
+  // second after which a lost SYN packet is retransmitted.
   DurationUs connect = 500 * kMillisecond;
-  // From the start to the answer's end; zero for none.
+  // Time limit from the start of the call to the end of the answer; zero for no
+  // limit.
   DurationUs total = 0;
-  // Idle connections to the address, this one included, that may stay open
-  // after the answer.
+  // Maximum number of idle connections to the address, including this one, that
+  // are kept after the answer; `kMaxIdlePerAddress` if not set.
   std::optional<std::size_t> most_kept;
 };
 
 class HttpChannels {
  public:
-  // Idle connections kept a destination.
-  static constexpr std::size_t kMostIdle = 64;
+  // Maximum number of idle connections kept per address.
+  static constexpr std::size_t kMaxIdlePerAddress = 64;
 
   explicit HttpChannels(Loop* loop);
   ~HttpChannels();
@@ -89,12 +94,12 @@
                CallSink* sink);
   // Closes the call's connection. No callback follows.
   void Cancel(CallId id);
-  // Stops or goes on reading the answer.
+  // Pauses or resumes reading the answer.
   void SetReading(CallId id, bool reading);
-  // Idle connections to an address whose process is gone.
+  // Closes the idle connections to an address, whose process has ended.
   void DropIdle(const Address& address);
   std::size_t open() const;
-  std::uint64_t opened() const;  // Connections made since the start.
+  std::uint64_t opened() const;  // Connections opened since construction.
 
  private:
   struct Impl;
--- a/src/transport/http_client.cc
+++ b/src/transport/http_client.cc
@@ -10,9 +10,9 @@
 namespace acaciachute {
 namespace {
 
-// Above the calls that one process has in progress with one host.
+// Above the number of calls that one process has in progress to one host.
 constexpr int kMaxConnections = 1024;
-constexpr gsize kReadSize = 64 << 10;
+constexpr gsize kReadBufferBytes = 64 << 10;
 constexpr int kHttpOk = 200;
 
 struct PendingCall {
@@ -23,7 +23,7 @@
   HttpClient::DoneFn done;
   HttpClient::PartFn part;
   HttpResult result;
-  bool dropped = false;  // Cancelled, or the client is gone.
+  bool ended = false;  // Cancelled, finished, or the client was destroyed.
   std::map<HttpClient::CallId, std::shared_ptr<PendingCall>>* calls = nullptr;
 };
 using CallPtr = std::shared_ptr<PendingCall>;
@@ -37,10 +37,10 @@
 }
 
 void Finish(const CallPtr& call) {
-  if (call->dropped) {
+  if (call->ended) {
     return;
   }
-  call->dropped = true;
+  call->ended = true;
   call->calls->erase(call->id);
   if (call->stream) {
     g_input_stream_close(call->stream.get(), nullptr, nullptr);
@@ -57,7 +57,7 @@
   const GBytesPtr bytes(
       g_input_stream_read_bytes_finish(G_INPUT_STREAM(source), result, &error));
   const GErrorPtr owned(error);
-  if (call->dropped) {
+  if (call->ended) {
     return;
   }
   if (!bytes) {
@@ -79,7 +79,7 @@
 }
 
 void ReadMore(const CallPtr& call) {
-  g_input_stream_read_bytes_async(call->stream.get(), kReadSize,
+  g_input_stream_read_bytes_async(call->stream.get(), kReadBufferBytes,
                                   G_PRIORITY_DEFAULT, call->cancellable.get(),
                                   OnRead, Hold(call));
 }
@@ -90,7 +90,7 @@
   GPtr<GInputStream> stream(
       soup_session_send_finish(SOUP_SESSION(source), result, &error));
   const GErrorPtr owned(error);
-  if (call->dropped) {
+  if (call->ended) {
     return;
   }
   if (!stream) {
@@ -126,7 +126,7 @@
 
 HttpClient::~HttpClient() {
   for (const auto& [unused, call] : impl_->calls) {
-    call->dropped = true;
+    call->ended = true;
     g_cancellable_cancel(call->cancellable.get());
   }
 }
@@ -181,7 +181,7 @@
   }
   const CallPtr call = it->second;
   impl_->calls.erase(it);
-  call->dropped = true;
+  call->ended = true;
   g_cancellable_cancel(call->cancellable.get());
 }
 
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -1,4 +1,4 @@
-// HTTP towards the platform and the upstream, by libsoup.
+// HTTP client for calls to the platform and the upstream, based on libsoup.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_HTTP_CLIENT_H_
 #define ACACIACHUTE_SRC_TRANSPORT_HTTP_CLIENT_H_
 
@@ -18,18 +18,19 @@
   std::string url;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  // An idle connection may be closed by the other end just as it is used.
-  // libsoup then sends a repeatable request again on another one; one that may
-  // not be repeated gets a connection of its own, closed after its answer.
+  // Whether the request may be sent twice. The server may close an idle
+  // connection just as a request is sent on it; libsoup then resends a
+  // repeatable request on another connection. A request that is not repeatable
+  // gets a connection of its own, which is closed after the answer.
   bool repeatable = false;
 };
 
 struct HttpResult {
-  int status = 0;      // Zero: no answer.
-  bool sent = false;   // Whether the request may have reached the other side.
-  bool whole = false;  // Whether the answer arrived to its end.
+  int status = 0;      // HTTP status; zero without an answer.
+  bool sent = false;   // Whether the request may have reached the server.
+  bool whole = false;  // Whether the complete answer was received.
   std::vector<std::pair<std::string, std::string>> headers;
-  std::string body;  // Empty when it was streamed.
+  std::string body;  // Empty if the body was passed to the `PartFn`.
   std::string error;
 };
 
@@ -39,14 +40,16 @@
   using DoneFn = std::function<void(const HttpResult&)>;
   using PartFn = std::function<void(std::string part)>;
 
-  // `timeout` ends a silent call; zero for none.
+  // `timeout` ends a call on whose connection no byte arrives for that long;
+  // zero for no limit.
   explicit HttpClient(DurationUs timeout);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // `done` runs once, from the loop, unless the call is cancelled. With `part`
-  // given, the body of a 200 answer goes there as it arrives.
+  // Starts a call. `done` runs once, from the loop, unless the call is
+  // cancelled. If `part` is given, the body of a 200 answer is passed to it
+  // piecewise as it arrives.
   CallId Call(const HttpRequest& request, DoneFn done, PartFn part = nullptr);
   // Closes the call's connection; `done` does not run.
   void Cancel(CallId id);
--- a/src/transport/http_connection.cc
+++ b/src/transport/http_connection.cc
@@ -5,8 +5,8 @@
 namespace acaciachute::detail {
 namespace {
 
-// Bytes that wait to be read, up to one; zero when the other side closed, -1
-// when the connection broke.
+// Returns 1 if a byte is ready to be read, zero if the client closed the
+// connection, -1 if the connection broke.
 gssize Peek(GSocket* socket) {
   char byte = 0;
   GInputVector vector = {&byte, 1};
@@ -15,7 +15,8 @@
                                   &flags, nullptr, nullptr);
 }
 
-// GLib adds HUP and ERR to every watch.
+// Calls `function` when `condition` holds. GLib also reports HUP and ERR on
+// every watch.
 GSource* WatchSocket(GSocket* socket,
                      GIOCondition condition,
                      GSocketSourceFunc function,
@@ -35,7 +36,7 @@
 
 }  // namespace
 
-void HttpConnection::CutAfter(DurationUs limit) {
+void HttpConnection::ShutDownAfter(DurationUs limit) {
   StopTimer();
   timer_ =
       g_timeout_add(static_cast<guint>(limit / kMillisecond), OnTimer, this);
@@ -50,11 +51,11 @@
 gboolean HttpConnection::OnTimer(gpointer data) {
   auto* it = static_cast<HttpConnection*>(data);
   it->timer_ = 0;
-  it->Cut();
+  it->ShutDown();
   return G_SOURCE_REMOVE;
 }
 
-void HttpConnection::Cut() {
+void HttpConnection::ShutDown() {
   g_socket_shutdown(socket_.get(), TRUE, TRUE, nullptr);
 }
 
@@ -99,8 +100,9 @@
   Unwatch(&watch_);
 }
 
-// A further request that waits behind the one in progress stays readable for
-// ever; from then on only a broken connection counts.
+// A pipelined request keeps the socket readable until the current request ends.
+// Once one has arrived, only HUP and ERR are watched, or the watch would fire
+// without end.
 gboolean HttpExchange::OnPeek(GSocket* socket,
                               GIOCondition condition,
                               gpointer data) {
--- a/src/transport/http_connection.h
+++ b/src/transport/http_connection.h
@@ -1,5 +1,5 @@
-// One caller's HTTP connection with its time limit, and the request in progress
-// on it with the watch for a hang-up.
+// A client's HTTP connection with its time limit, and the request in progress
+// on it, which is watched for a disconnect of the client.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_HTTP_CONNECTION_H_
 #define ACACIACHUTE_SRC_TRANSPORT_HTTP_CONNECTION_H_
 
@@ -24,13 +24,15 @@
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  // Cuts the connection after `limit`, unless set anew or stopped before.
-  void CutAfter(DurationUs limit);
+  // Shuts the connection down after `limit`, unless the timer is set again or
+  // stopped before.
+  void ShutDownAfter(DurationUs limit);
   void StopTimer();
-  // libsoup then ends the request as one whose connection broke.
-  void Cut();
-  // Between requests: closes the socket when the other side does. libsoup 3.2
-  // keeps such a connection open for ever, and so its file descriptor.
+  // Shuts the socket down; libsoup then aborts the request in progress.
+  void ShutDown();
+  // Between requests: closes the socket when the client does. libsoup 3.2 keeps
+  // a connection that the client closed open for ever, and with it the file
+  // descriptor.
   void WatchIdle();
   void StopWatch();
   bool closed() const { return g_socket_is_closed(socket_.get()) != FALSE; }
@@ -44,7 +46,8 @@
   GSource* watch_ = nullptr;
 };
 
-// A request from the end of its head to the end of its answer.
+// One request and its answer, from the end of the request's head to the end of
+// the answer.
 class HttpExchange {
  public:
   HttpExchange(SoupServerMessage* message, HttpConnection* connection);
@@ -52,18 +55,18 @@
   HttpExchange(const HttpExchange&) = delete;
   HttpExchange& operator=(const HttpExchange&) = delete;
 
-  // Runs `task` once when the other side hangs up. libsoup reads nothing from
-  // a paused message, so it does not notice.
+  // Runs `task` once when the client disconnects. libsoup does not notice this
+  // by itself, as it does not read from the socket of a paused message.
   void OnHangUp(std::function<void()> task);
 
   SoupServerMessage* message() const { return message_.get(); }
   HttpConnection* connection() const { return connection_; }
 
-  std::uint64_t handle = 0;  // Zero until the request is whole.
-  std::size_t received = 0;  // Of the body.
-  bool refused = false;      // Before the body was taken.
+  std::uint64_t handle = 0;  // Zero until the request is complete.
+  std::size_t received = 0;  // Bytes of the body received.
+  bool refused = false;      // Refused for the size of its body.
   bool streaming = false;
-  bool complete = false;  // The whole answer was given to libsoup.
+  bool complete = false;  // The complete answer was passed to libsoup.
 
  private:
   void Watch(GIOCondition condition);
--- a/src/transport/http_listener.cc
+++ b/src/transport/http_listener.cc
@@ -14,14 +14,15 @@
 namespace acaciachute {
 namespace {
 
-// How long a refused client may still send before its connection is closed: a
-// close with unread bytes would reset it before the refusal is read.
-constexpr DurationUs kLinger = kSecond;
-// Pipelined bytes held while a request is in progress.
-constexpr std::size_t kAheadBytes = 64 << 10;
-// How often time limits are looked at; they are seconds long.
-constexpr DurationUs kSweep = 250 * kMillisecond;
-constexpr int kBacklog = 1024;
+// How long a connection that is being closed still reads and discards what its
+// client sends. Closing a socket with unread bytes resets the connection, which
+// could destroy the last answer before the client reads it.
+constexpr DurationUs kLingerTimeout = kSecond;
+// Maximum number of bytes buffered behind a request in progress.
+constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
+// How often the time limits are checked; the limits are seconds long.
+constexpr DurationUs kSweepPeriod = 250 * kMillisecond;
+constexpr int kListenBacklog = 1024;
 
 bool HasNoBody(int status) {
   return status == 204 || status == 304;
@@ -44,7 +45,7 @@
 
   static gboolean OnAccept(GSocket*, GIOCondition, gpointer data);
   void Sweep();
-  void Forget(Connection* connection);
+  void Remove(Connection* connection);
   Connection* Find(ExchangeId id) const {
     const auto it = exchanges.find(id);
     return it == exchanges.end() ? nullptr : it->second;
@@ -74,7 +75,7 @@
                                        std::move(socket),
                                        this)) {}
   ~Connection() override {
-    owner_->buffered -= counted_;
+    owner_->buffered -= counted_bytes_;
     if (id_ != 0) {
       owner_->exchanges.erase(id_);
     }
@@ -83,13 +84,14 @@
 
   void OnBytes(std::string_view bytes) override {
     if (closing_) {
-      return;  // Read and dropped, see `kLinger`.
+      return;  // Discarded, see `kLingerTimeout`.
     }
-    in_ += bytes;
+    input_ += bytes;
     CountBuffered();
     if (id_ != 0) {
-      // Reads go on while a request is in progress to notice a hang-up.
-      if (in_.size() > kAheadBytes) {
+      // Reading continues while a request is in progress, to detect that the
+      // client closes the connection.
+      if (input_.size() > kMaxPipelinedBytes) {
         stream_->SetReading(false);
       }
       return;
@@ -100,7 +102,7 @@
   void OnEnd(const char* error) override {
     const ExchangeId id = id_;
     ListenerHandler* handler = owner_->handler;
-    owner_->Forget(this);  // `this` is gone.
+    owner_->Remove(this);  // `this` is deleted.
     if (id != 0) {
       handler->OnGone(id);
     }
@@ -151,19 +153,21 @@
   std::size_t unsent() const { return stream_->unsent(); }
 
   bool idle() const {
-    return id_ == 0 && !closing_ && reading_since_ == 0 && in_.empty();
+    return id_ == 0 && !closing_ && reading_since_ == 0 && input_.empty();
   }
 
-  // Whether the connection's time is up.
+  // Whether a time limit of the connection has passed. Refuses a request that
+  // was not sent in time.
   bool Expired(TimeUs now) {
     if (closing_) {
-      return now - closing_since_ > kLinger;
+      return now - closing_since_ > kLingerTimeout;
     }
     if (id_ != 0) {
       return false;
     }
     if (reading_since_ != 0 && now - reading_since_ > owner_->limits.head) {
-      Refuse(408, "the request was not sent in time");
+      Refuse(408,
+             "the request was not completely received within the time limit");
       return false;
     }
     return reading_since_ == 0 && now - idle_since_ > owner_->limits.idle;
@@ -171,20 +175,20 @@
 
  private:
   void CountBuffered() {
-    owner_->buffered += in_.size() + body_bytes_ - counted_;
-    counted_ = in_.size() + body_bytes_;
+    owner_->buffered += input_.size() + body_bytes_ - counted_bytes_;
+    counted_bytes_ = input_.size() + body_bytes_;
   }
 
   void ReadNext() {
-    if (in_.empty()) {
+    if (input_.empty()) {
       return;
     }
     if (reading_since_ == 0) {
       reading_since_ = Loop::Now();
     }
-    const std::size_t before = in_.size();
-    const auto state = reader_.Read(&in_);
-    body_bytes_ += before - in_.size();
+    const std::size_t before = input_.size();
+    const auto state = reader_.Read(&input_);
+    body_bytes_ += before - input_.size();
     CountBuffered();
     if (state == HttpRequestReader::State::kBad) {
       Refuse(reader_.error_status(), reader_.error());
@@ -197,7 +201,7 @@
 
   void OnPartOfBody() {
     if (owner_->buffered > owner_->limits.buffered_bytes) {
-      Refuse(503, "too many bytes of requests are held");
+      Refuse(503, "the buffer for request bodies is full");
       return;
     }
     if (reader_.head().expects_continue && !continued_) {
@@ -220,7 +224,8 @@
     owner_->handler->OnRequest(id_, std::move(head), std::move(body));
   }
 
-  // Whether the connection is closed after this answer.
+  // Adds the Connection field. Returns whether the connection is closed after
+  // this answer.
   bool AddConnectionField(HttpFields* fields) const {
     const bool close = owner_->draining || !keep_alive_;
     fields->push_back({"Connection", close ? "close" : "keep-alive"});
@@ -238,8 +243,9 @@
       return;
     }
     stream_->SetReading(true);
-    // From the loop: the next request must not run inside this one's decision.
-    if (!in_.empty()) {
+    // Continues from the loop: the handler must not receive the next request
+    // while it is still inside the call that answered this one.
+    if (!input_.empty()) {
       owner_->loop->AfterWhile(owner_->alive, 0, [owner = owner_, self = this] {
         if (owner->connections.contains(self) && self->id_ == 0 &&
             !self->closing_) {
@@ -252,7 +258,7 @@
   void FinishAndLinger() {
     closing_ = true;
     closing_since_ = Loop::Now();
-    in_.clear();
+    input_.clear();
     CountBuffered();
     stream_->SetReading(true);
     stream_->FinishWriting();
@@ -272,12 +278,12 @@
   Impl* const owner_;
   HttpRequestReader reader_;
   TimeUs idle_since_;
-  TimeUs reading_since_ = 0;  // Zero: no byte of a request is here.
+  TimeUs reading_since_ = 0;  // Zero if no byte of a request has arrived.
   TimeUs closing_since_ = 0;
-  std::string in_;
-  std::size_t body_bytes_ = 0;  // Of the request being read or in progress.
-  std::size_t counted_ = 0;     // Of this connection in `Impl::buffered`.
-  ExchangeId id_ = 0;           // Zero: no request is in progress.
+  std::string input_;
+  std::size_t body_bytes_ = 0;     // Body bytes of the current request.
+  std::size_t counted_bytes_ = 0;  // Share of `Impl::buffered`.
+  ExchangeId id_ = 0;              // Zero if no request is in progress.
   bool keep_alive_ = true;
   bool chunked_ = true;
   bool head_request_ = false;
@@ -319,11 +325,11 @@
     }
   }
   for (Connection* it : expired) {
-    Forget(it);
+    Remove(it);
   }
 }
 
-void HttpListener::Impl::Forget(Connection* connection) {
+void HttpListener::Impl::Remove(Connection* connection) {
   connections.erase(connection);
 }
 
@@ -342,7 +348,7 @@
         StrCat("cannot listen on ", address.ip, ":", address.port));
   }
   g_socket_set_blocking(impl_->socket.get(), FALSE);
-  g_socket_set_listen_backlog(impl_->socket.get(), kBacklog);
+  g_socket_set_listen_backlog(impl_->socket.get(), kListenBacklog);
   if (!g_socket_bind(impl_->socket.get(), bound.get(), TRUE, &raw_error) ||
       !g_socket_listen(impl_->socket.get(), &raw_error)) {
     const GErrorPtr error(raw_error);
@@ -354,7 +360,7 @@
   g_source_set_callback(impl_->accept_source, G_SOURCE_FUNC(Impl::OnAccept),
                         impl_.get(), nullptr);
   g_source_attach(impl_->accept_source, nullptr);
-  impl_->sweep = impl_->loop->Every(kSweep, [this] { impl_->Sweep(); });
+  impl_->sweep = impl_->loop->Every(kSweepPeriod, [this] { impl_->Sweep(); });
   return absl::OkStatus();
 }
 
@@ -388,7 +394,7 @@
 void HttpListener::Break(ExchangeId id) {
   if (auto* it = impl_->Find(id)) {
     it->Break();
-    impl_->Forget(it);
+    impl_->Remove(it);
   }
 }
 std::size_t HttpListener::Unsent(ExchangeId id) const {
@@ -406,7 +412,7 @@
     }
   }
   for (auto* it : idle) {
-    impl_->Forget(it);
+    impl_->Remove(it);
   }
 }
 std::size_t HttpListener::connections() const {
--- a/src/transport/http_listener.h
+++ b/src/transport/http_listener.h
@@ -1,10 +1,12 @@
-// HTTP/1.1 towards clients: connections that are kept, whole requests in,
-// answers or streams out, and the notice that a client hung up.
+// HTTP/1.1 server for clients: persistent connections, complete requests in,
+// complete or streamed answers out, and a notification when a client
+// disconnects.
 //
-// Failure: clients stall in the middle of a head or a body, do not read their
-// answers, or open connections without end. Symptom: memory or descriptors run
-// out and everybody is refused. Time, bytes and connections are bounded, each
-// by a limit below, and what exceeds one is answered or cut by itself.
+// Clients that stall in the middle of a head or a body, do not read their
+// answers or open ever more connections would exhaust memory or file
+// descriptors, and then no client could be served. Time, bytes and connections
+// are bounded by the limits below; the listener itself refuses or closes what
+// exceeds one.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_HTTP_LISTENER_H_
 #define ACACIACHUTE_SRC_TRANSPORT_HTTP_LISTENER_H_
 
@@ -23,16 +25,19 @@
 
 struct ListenerLimits {
   HttpReadLimits read;
-  DurationUs head = 3 * kSecond;   // From the first byte to the end.
-  DurationUs idle = 15 * kSecond;  // Between requests.
+  // Time in which a request must arrive, from its first byte to its last.
+  DurationUs head = 3 * kSecond;
+  // Time for which a connection may be idle between requests.
+  DurationUs idle = 15 * kSecond;
   std::size_t connections = 2000;
-  // Request bodies of all connections. Above it new bodies are refused, so that
-  // stalled uploads cannot use up the process's memory.
+  // Buffered bytes of all connections' requests, from their arrival to their
+  // answer. Above this limit further bodies are refused, so that stalled
+  // uploads cannot exhaust the process's memory.
   std::size_t buffered_bytes = 48 << 20;
 };
 
 struct ListenerEvent {
-  const char* what;  // Such as "refused" or "cut".
+  const char* what;  // Kind of event, such as "refused".
   int status = 0;
   std::string reason;
 };
@@ -44,9 +49,9 @@
                          HttpRequestHead head,
                          std::string body) = 0;
   virtual void OnGone(ExchangeId id) = 0;
-  // What was written for `id` has left this process.
+  // Everything written for `id` has been passed to the kernel.
   virtual void OnWritten(ExchangeId id) = 0;
-  // The listener answered or cut something by itself.
+  // The listener refused a request or a connection by itself.
   virtual void OnListenerEvent(const ListenerEvent& event) = 0;
 };
 
@@ -60,7 +65,8 @@
   absl::Status Listen(const Address& address);
   void SetLimits(const ListenerLimits& limits);
 
-  // Unknown ids are ignored: the client is gone.
+  // Sends a complete answer. Here and below, unknown ids are ignored, because
+  // the client may have disconnected.
   void Reply(ExchangeId id,
              int status,
              HttpFields fields,
@@ -68,12 +74,13 @@
   void BeginStream(ExchangeId id, int status, HttpFields fields);
   void StreamData(ExchangeId id, std::string_view bytes);
   void EndStream(ExchangeId id);
-  // Cuts the connection, so that what was sent cannot pass for a whole answer.
+  // Resets the connection, so that the client cannot mistake what was sent for
+  // a complete answer.
   void Break(ExchangeId id);
-  // Bytes that the client has not taken yet.
+  // Bytes written for `id` that are not yet passed to the kernel.
   std::size_t Unsent(ExchangeId id) const;
 
-  // From now on each answer asks its client to close the connection.
+  // From now on each answer carries "Connection: close".
   void BeginDrain();
   // Closes connections on which no byte of a request has arrived.
   void CloseIdle();
--- a/src/transport/http_server.cc
+++ b/src/transport/http_server.cc
@@ -18,33 +18,34 @@
 using detail::HttpConnection;
 using detail::HttpExchange;
 
-// Connections that wait to be accepted. GIO's own default of ten resets some
-// callers when forty connect at once, as at the start of an event; the kernel
-// lowers it to its own bound.
+// Maximum number of connections waiting to be accepted; the kernel lowers it to
+// its own bound. GIO's default of ten resets some clients when forty connect at
+// once, as at the start of an event.
 constexpr int kListenBacklog = 1024;
 
-// File descriptors left for frames, the platform and logs.
-constexpr rlim_t kReservedFiles = 256;
-// A refused body is read and thrown away up to this multiple of the limit, so
-// that a caller that is only a little over it reads its refusal.
+// File descriptors reserved for frames, platform connections and logs.
+constexpr rlim_t kReservedDescriptors = 256;
+// A refused body is read and discarded up to this multiple of the limit, so
+// that a client only a little above the limit can read the refusal.
 constexpr std::size_t kDiscardFactor = 4;
-// Closed connections that may be remembered beside twice the open ones.
-constexpr std::size_t kSweepStep = 64;
+// Closed connections are removed from the map once it holds this many more than
+// twice the connections open at the last removal.
+constexpr std::size_t kSweepSlack = 64;
 
-std::size_t BoundConnections(std::size_t wanted) {
+std::size_t ClampConnections(std::size_t wanted) {
   struct rlimit files = {};
   if (getrlimit(RLIMIT_NOFILE, &files) != 0 ||
       files.rlim_cur == RLIM_INFINITY) {
     return wanted;
   }
-  const rlim_t usable = files.rlim_cur > 2 * kReservedFiles
-                            ? files.rlim_cur - kReservedFiles
+  const rlim_t usable = files.rlim_cur > 2 * kReservedDescriptors
+                            ? files.rlim_cur - kReservedDescriptors
                             : files.rlim_cur / 2;
   return std::min<std::size_t>(wanted, usable);
 }
 
-// Puts a whole reply into the message.
-void Fill(SoupServerMessage* message, const HttpReply& reply) {
+// Copies a complete reply into the libsoup message.
+void FillResponse(SoupServerMessage* message, const HttpReply& reply) {
   soup_server_message_set_status(message, reply.status, nullptr);
   SoupMessageHeaders* headers =
       soup_server_message_get_response_headers(message);
@@ -56,7 +57,7 @@
                                    reply.body.size());
 }
 
-void AskToClose(SoupServerMessage* message) {
+void SetConnectionClose(SoupServerMessage* message) {
   soup_message_headers_replace(
       soup_server_message_get_response_headers(message), "Connection", "close");
 }
@@ -81,10 +82,10 @@
   Impl(HttpHandler* handler, const HttpLimits& limits)
       : handler(handler),
         limits(limits),
-        max_connections(BoundConnections(limits.max_connections)) {}
+        max_connections(ClampConnections(limits.max_connections)) {}
 
   void OnStarted(SoupServerMessage* message);
-  void ForgetClosed();
+  void RemoveClosed();
   void OnHead(SoupServerMessage* message);
   void OnChunk(SoupServerMessage* message, gsize size);
   void OnRequest(SoupServerMessage* message, const char* path);
@@ -97,7 +98,8 @@
   HttpHandler* const handler;
   const HttpLimits limits;
   const std::size_t max_connections;
-  // Paths come as they were sent: an escaped slash is part of a key.
+  // With raw-paths, libsoup leaves paths undecoded: an escaped slash is part of
+  // an idempotency key.
   GPtr<SoupServer> server{soup_server_new("server-header",
                                           "acaciachute",
                                           "raw-paths",
@@ -106,7 +108,8 @@
   std::uint64_t next_handle = 1;
   bool closing = false;
   std::map<GSocket*, std::unique_ptr<HttpConnection>> connections;
-  std::size_t next_sweep = kSweepStep;  // Closed ones are forgotten then.
+  // Size of `connections` at which the closed ones are removed.
+  std::size_t sweep_threshold = kSweepSlack;
   std::map<SoupServerMessage*, std::unique_ptr<HttpExchange>> exchanges;
   std::map<std::uint64_t, HttpExchange*> open;
 };
@@ -121,31 +124,33 @@
   return it == open.end() ? nullptr : it->second;
 }
 
-// The first message of a connection starts when it is accepted, each later one
-// with its first byte; either way its head has to follow.
+// The first message of a connection starts when the connection is accepted,
+// each later one with its first byte. In both cases the head must arrive within
+// the limit.
 void HttpServer::Impl::OnStarted(SoupServerMessage* message) {
   GSocket* socket = soup_server_message_get_socket(message);
   if (socket == nullptr) {
     return;
   }
-  if (connections.size() >= std::min(max_connections, next_sweep)) {
-    ForgetClosed();
-    next_sweep = 2 * connections.size() + kSweepStep;
+  if (connections.size() >= std::min(max_connections, sweep_threshold)) {
+    RemoveClosed();
+    sweep_threshold = 2 * connections.size() + kSweepSlack;
   }
   auto& connection = connections[socket];
   if (!connection) {
     connection = std::make_unique<HttpConnection>(socket);
   }
   if (connections.size() > max_connections) {
-    connection->Cut();
+    connection->ShutDown();
   } else {
     connection->StopWatch();
-    connection->CutAfter(limits.head);
+    connection->ShutDownAfter(limits.head);
   }
 }
 
-// libsoup tells of the end of a request, not of a connection.
-void HttpServer::Impl::ForgetClosed() {
+// libsoup signals the end of a request but not of a connection, so closed
+// connections are removed here.
+void HttpServer::Impl::RemoveClosed() {
   std::erase_if(connections,
                 [](const auto& it) { return it.second->closed(); });
 }
@@ -160,7 +165,7 @@
       std::make_unique<HttpExchange>(message, connection->second.get());
   HttpExchange& exchange = *owned;
   exchanges[message] = std::move(owned);
-  exchange.connection()->CutAfter(limits.body);
+  exchange.connection()->ShutDownAfter(limits.body);
   g_signal_connect(
       message, "got-chunk",
       G_CALLBACK(+[](SoupServerMessage* it, GBytes* bytes, gpointer data) {
@@ -187,7 +192,7 @@
   }
   exchange->received += size;
   if (exchange->received > kDiscardFactor * limits.max_body) {
-    exchange->connection()->Cut();
+    exchange->connection()->ShutDown();
   } else if (exchange->received > limits.max_body && !exchange->refused) {
     RefuseBody(*exchange);
   }
@@ -200,11 +205,12 @@
   }
   exchange->connection()->StopTimer();
   if (exchange->refused) {
-    Fill(message, FormatAnswer(MakeRefusal(
-                      Verdict::kNotRun, Refusal::kTooLarge,
-                      StrCat("the body is over ", limits.max_body, " bytes"))));
-    AskToClose(message);
-    exchange->connection()->CutAfter(limits.answer);
+    FillResponse(message,
+                 FormatAnswer(MakeRefusal(
+                     Verdict::kNotRun, Refusal::kTooLarge,
+                     StrCat("the body is over ", limits.max_body, " bytes"))));
+    SetConnectionClose(message);
+    exchange->connection()->ShutDownAfter(limits.answer);
     return;
   }
   exchange->handle = next_handle++;
@@ -217,8 +223,9 @@
   handler->OnHttpRequest(exchange->handle, HeadOf(message, path), text);
 }
 
-// The message is let go on, so that libsoup finds the broken connection and
-// ends it; until then the exchange is closed for the handler.
+// Shuts the socket down and unpauses the message, so that libsoup notices the
+// broken connection and ends the message. For the handler
+// the exchange ends at once.
 void HttpServer::Impl::OnHangUp(SoupServerMessage* message) {
   HttpExchange* exchange = Find(message);
   if (exchange == nullptr || exchange->complete) {
@@ -227,7 +234,7 @@
   const std::uint64_t handle = exchange->handle;
   open.erase(handle);
   exchange->complete = true;
-  exchange->connection()->Cut();
+  exchange->connection()->ShutDown();
   soup_server_message_set_status(message, Info(Refusal::kCancelled).http_status,
                                  nullptr);
   soup_message_body_complete(soup_server_message_get_response_body(message));
@@ -243,7 +250,7 @@
   const auto exchange = std::move(it->second);
   exchanges.erase(it);
   g_signal_handlers_disconnect_by_data(message, this);
-  exchange->connection()->CutAfter(limits.idle);
+  exchange->connection()->ShutDownAfter(limits.idle);
   exchange->connection()->WatchIdle();
   const bool was_open = open.erase(exchange->handle) > 0;
   if (was_open && !exchange->complete) {
@@ -291,7 +298,8 @@
   const GPtr<GSocketAddress> target(
       g_inet_socket_address_new_from_string(address.ip.c_str(), address.port));
   if (!target) {
-    return absl::InvalidArgumentError("http: no IP number");
+    return absl::InvalidArgumentError(
+        "http: listen address is not an IP address");
   }
   GError* error = nullptr;
   const GPtr<GSocket> socket(
@@ -324,11 +332,11 @@
     return;
   }
   it->complete = true;
-  Fill(it->message(), reply);
+  FillResponse(it->message(), reply);
   if (impl_->closing) {
-    AskToClose(it->message());
+    SetConnectionClose(it->message());
   }
-  it->connection()->CutAfter(impl_->limits.answer);
+  it->connection()->ShutDownAfter(impl_->limits.answer);
   soup_server_message_unpause(it->message());
 }
 
@@ -358,7 +366,7 @@
     soup_message_headers_replace(headers, "Content-Type", "text/event-stream");
     soup_message_headers_replace(headers, "Cache-Control", "no-store");
     if (impl_->closing) {
-      AskToClose(message);
+      SetConnectionClose(message);
     }
     soup_message_body_set_accumulate(body, FALSE);
   }
@@ -375,7 +383,7 @@
   it->complete = true;
   soup_message_body_complete(
       soup_server_message_get_response_body(it->message()));
-  it->connection()->CutAfter(impl_->limits.answer);
+  it->connection()->ShutDownAfter(impl_->limits.answer);
   soup_server_message_unpause(it->message());
 }
 
@@ -404,7 +412,7 @@
 }
 
 std::size_t HttpServer::connections() const {
-  impl_->ForgetClosed();
+  impl_->RemoveClosed();
   return impl_->connections.size();
 }
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,10 +1,10 @@
-// HTTP towards callers and operators, by libsoup.
+// HTTP server for client and operator requests, based on libsoup.
 //
-// Failure: a caller sends without end, slowly, or not at all, or opens
-// connections without end. Symptom: the process runs out of memory or file
-// descriptors and refuses everybody. Bodies, connections and the time to send
-// a request are bounded. A caller that hangs up is noticed while its request
-// is in progress, although libsoup reads nothing from a paused message.
+// Clients that send endless or slow requests, send nothing, or open ever more
+// connections would exhaust memory or file descriptors, and then nobody could
+// be served. Bodies, connections and the time to send a request are bounded. A
+// client that disconnects is detected while its request is in progress,
+// although libsoup reads nothing from a paused message.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_HTTP_SERVER_H_
 #define ACACIACHUTE_SRC_TRANSPORT_HTTP_SERVER_H_
 
@@ -20,29 +20,33 @@
 namespace acaciachute {
 
 struct HttpLimits {
-  // Above the table's largest transaction, for the stand-ins' sake.
+  // Maximum body size. Above the largest transaction of the platform's table,
+  // because the platform stand-ins of the tests use this server too.
   std::size_t max_body = 16 << 20;
-  // Also kept below the process's limit on open files.
+  // Maximum number of connections; lowered to fit the process's limit on open
+  // files.
   std::size_t max_connections = 4096;
-  // Between requests; a balancer keeps an idle connection for a minute.
+  // Maximum idle time between requests; a load balancer keeps an idle
+  // connection for a minute.
   DurationUs idle = 75 * kSecond;
-  // From the connection's start, or the first byte of a later request on it, to
-  // the end of the head, then to the end of the body. A caller's own deadline
-  // is 5 s; one that needs longer to send is too late.
+  // Time limit for the head, from the accept of the connection or the first
+  // byte of a later request, and for the body, from the end of the head. A
+  // client's own deadline is 5 s, so that a slower request is late anyway.
   DurationUs head = 10 * kSecond;
   DurationUs body = 10 * kSecond;
-  // For the caller to read an answer that is whole.
+  // Time limit for the client to read a complete answer.
   DurationUs answer = 30 * kSecond;
 };
 
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
-  // Every request gets one `Reply`, or `StreamPart`s and a `StreamEnd`.
+  // The handler answers each request with one `Reply`, or with `StreamPart`s
+  // and one `StreamEnd`.
   virtual void OnHttpRequest(std::uint64_t handle,
                              const HttpHead& head,
                              std::string_view body) = 0;
-  // The other side hung up before its answer was complete.
+  // The client disconnected before its answer was complete.
   virtual void OnHttpGone(std::uint64_t handle) = 0;
 };
 
@@ -56,19 +60,20 @@
   absl::Status Listen(const Address& address);
   std::uint16_t port() const;
 
-  // Unknown handles are ignored: the other side is gone.
+  // Sends a complete answer. Here and below, unknown handles are ignored,
+  // because the client may have disconnected.
   void Reply(std::uint64_t handle, const HttpReply& reply);
-  // A header of a streamed answer; before its first part.
+  // Sets a header of a streamed answer; must be called before its first part.
   void SetHeader(std::uint64_t handle,
                  const std::string& name,
                  const std::string& value);
   void StreamPart(std::uint64_t handle, const std::string& bytes);
   void StreamEnd(std::uint64_t handle, const std::string& bytes);
-  // Closes the connection without an answer, as a process that dies would.
+  // Closes the connection without an answer, as a crash of the process would.
   void Drop(std::uint64_t handle);
-  // From now on each answer asks the other side to close its connection.
+  // From now on each answer carries "Connection: close".
   void CloseConnections();
-  // Requests whose answers are not yet written to their end.
+  // Number of requests whose answers have not been written completely.
   std::size_t Open() const;
   std::size_t connections() const;
 
--- a/src/transport/log_writer.cc
+++ b/src/transport/log_writer.cc
@@ -19,7 +19,7 @@
     : descriptor_(descriptor), node_(std::move(node)), loop_(loop) {
   const int flags = fcntl(descriptor_, F_GETFL);
   fcntl(descriptor_, F_SETFL, flags | O_NONBLOCK);
-  timer_ = loop_->Every(kFlush, [this] { Flush(); });
+  timer_ = loop_->Every(kFlushPeriod, [this] { Flush(); });
 }
 
 LogWriter::~LogWriter() {
@@ -33,7 +33,7 @@
     it = rates_.emplace(event, Rate{}).first;
     if (std::find(kFleetEvents.begin(), kFleetEvents.end(), event) !=
         kFleetEvents.end()) {
-      it->second.most = kMostOfFleetPerSecond;
+      it->second.max_lines = kMaxFleetLinesPerSecond;
     }
   }
   Rate& rate = it->second;
@@ -42,10 +42,10 @@
     rate.second = second;
     rate.lines = 0;
   }
-  if (++rate.lines > rate.most || buffer_.size() > kMostBytes) {
+  if (++rate.lines > rate.max_lines || buffer_.size() > kMaxBufferBytes) {
     ++rate.dropped;
     ++dropped_;
-    untold_ = true;
+    has_unreported_drops_ = true;
     return;
   }
   Append(event, fields);
@@ -65,8 +65,8 @@
   buffer_ += '\n';
 }
 
-void LogWriter::TellDropped() {
-  untold_ = false;
+void LogWriter::LogDropped() {
+  has_unreported_drops_ = false;
   for (auto& [event, rate] : rates_) {
     if (rate.dropped > 0) {
       Append("log_dropped", {{"of", event}, {"lines", rate.dropped}});
@@ -76,13 +76,13 @@
 }
 
 void LogWriter::Flush() {
-  if (untold_ && buffer_.size() < kMostBytes / 2) {
-    TellDropped();
+  if (has_unreported_drops_ && buffer_.size() < kMaxBufferBytes / 2) {
+    LogDropped();
   }
   while (!buffer_.empty()) {
     const ssize_t n = write(descriptor_, buffer_.data(), buffer_.size());
     if (n <= 0) {
-      return;  // Full for now; the next flush goes on.
+      return;  // The descriptor is not writable; the next flush continues.
     }
     buffer_.erase(0, static_cast<std::size_t>(n));
   }
--- a/src/transport/log_writer.h
+++ b/src/transport/log_writer.h
@@ -1,10 +1,10 @@
-// Structured log lines on standard output, one JSON object each.
+// Writes structured log lines, one JSON object each, to standard output.
 //
-// Failure: whoever reads the lines stalls, or a flood of refusals writes more
-// than can be read. Symptom: the process blocks in a write and serves nobody.
-// The descriptor never blocks, lines wait in a bounded buffer, each kind of
-// line has a rate of its own, and what is dropped is counted by kind and told
-// in a line once there is room.
+// If the reader of the log stalls, or a burst of refusals writes more than it
+// can read, a blocking write would stop the process. So the descriptor is
+// non-blocking, lines wait in a bounded buffer, the rate of each event is
+// limited, and dropped lines are counted by event and reported in a log line
+// once the buffer has space again.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_LOG_WRITER_H_
 #define ACACIACHUTE_SRC_TRANSPORT_LOG_WRITER_H_
 
@@ -22,37 +22,38 @@
 
 class LogWriter : public EventLog {
  public:
-  // About 800 lines.
-  static constexpr std::size_t kMostBytes = 256 << 10;
-  // Of one kind in a second: above the rate of requests at one entry today, so
-  // that only floods are cut.
-  static constexpr std::uint32_t kMostPerSecond = 300;
-  // Of the kinds that tell of another host or replica. One that starts or ends
-  // is a line in the log of every host: with a hundred hosts and 300 replicas
-  // these were six lines in ten, and hosts with a tenth of a core paid for them
-  // when they were busiest. What exceeds this is counted; some host has it.
-  static constexpr std::uint32_t kMostOfFleetPerSecond = 30;
-  static constexpr DurationUs kFlush = 50 * kMillisecond;
+  // Maximum size of the buffer; about 800 lines.
+  static constexpr std::size_t kMaxBufferBytes = 256 << 10;
+  // Maximum number of lines of one event per second. Above the request rate of
+  // one entry, so that lines are dropped in bursts only.
+  static constexpr std::uint32_t kMaxLinesPerSecond = 300;
+  // As above, for the events that report a state change of another host or
+  // replica. Every host logs each such change: with a hundred hosts and 300
+  // replicas these were six lines in ten, and hosts with a tenth of a core
+  // spent CPU time on them when they were busiest. Lines above the limit are
+  // counted as dropped; the log of some other host has them.
+  static constexpr std::uint32_t kMaxFleetLinesPerSecond = 30;
+  static constexpr DurationUs kFlushPeriod = 50 * kMillisecond;
 
   // Writes to `descriptor`, which it makes non-blocking.
   LogWriter(int descriptor, NodeId node, Loop* loop);
   ~LogWriter() override;
 
   void Write(std::string_view event, LogFields fields) override;
-  // As much as the descriptor takes now.
+  // Writes as much of the buffer as the descriptor accepts now.
   void Flush();
   std::uint64_t dropped() const { return dropped_; }
 
  private:
   struct Rate {
-    std::uint32_t most = kMostPerSecond;
+    std::uint32_t max_lines = kMaxLinesPerSecond;
     TimeUs second = 0;
     std::uint32_t lines = 0;
-    std::uint64_t dropped = 0;  // Not told yet.
+    std::uint64_t dropped = 0;  // Dropped lines not reported yet.
   };
 
   void Append(std::string_view event, LogFields fields);
-  void TellDropped();
+  void LogDropped();
 
   const int descriptor_;
   const NodeId node_;
@@ -61,7 +62,7 @@
   std::string buffer_;
   std::map<std::string, Rate, std::less<>> rates_;
   std::uint64_t dropped_ = 0;
-  bool untold_ = false;
+  bool has_unreported_drops_ = false;
 };
 
 }  // namespace acaciachute
--- a/src/transport/loop.cc
+++ b/src/transport/loop.cc
@@ -36,11 +36,11 @@
                             new TaskHolder{std::move(task), repeats}, FreeTask);
 }
 
-// A poll that blocked for at least this long found nothing to do before.
-constexpr DurationUs kBlocked = 100;
+// A poll that took at least this long blocked, so no event was pending before.
+constexpr DurationUs kMinBlockedTime = 100;
 
 struct PollTimes {
-  TimeUs last = g_get_monotonic_time();    // When poll returned last.
+  TimeUs last = g_get_monotonic_time();    // When the last poll returned.
   TimeUs oldest = g_get_monotonic_time();  // See `Loop::OldestEvent`.
 };
 
@@ -49,14 +49,14 @@
   return times;
 }
 
-// Events found by a poll that blocked came just now; those found at once may
-// have come as early as the poll before.
+// Events found by a poll that blocked have just arrived; those found by a poll
+// that returned at once may have been pending since the previous poll.
 gint TimedPoll(GPollFD* fds, guint n, gint timeout) {
   PollTimes& times = Times();
   const TimeUs before = g_get_monotonic_time();
   const gint ready = g_poll(fds, n, timeout);
   const TimeUs after = g_get_monotonic_time();
-  times.oldest = after - before >= kBlocked ? after : times.last;
+  times.oldest = after - before >= kMinBlockedTime ? after : times.last;
   times.last = after;
   return ready;
 }
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -1,4 +1,4 @@
-// GLib's main loop: the one thread on which everything runs.
+// The process's event loop (GLib's main loop). All code runs on its one thread.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_LOOP_H_
 #define ACACIACHUTE_SRC_TRANSPORT_LOOP_H_
 
@@ -23,18 +23,20 @@
   static TimeUs Now();
   // As `Now`, but also counts time in which the host was suspended.
   static TimeUs BootNow();
-  static std::int64_t WallClock();  // Microseconds since 1970, for spans only.
+  // Microseconds since 1970, for log lines and spans only.
+  static std::int64_t WallClock();
 
-  // Since when the events that are handled now may have waited for this loop,
-  // at the earliest. The loop is a queue: while it handles one event, others
-  // wait unseen, and that time counts against their deadlines.
+  // Earliest time at which the events being handled now may have arrived. While
+  // the loop handles one event, others wait in the kernel, and that wait counts
+  // against their deadlines.
   static TimeUs OldestEvent();
 
-  // Rounds up to GLib's millisecond. A timer that ran is gone.
+  // Runs the task once after `delay`, which is rounded up to whole milliseconds
+  // as GLib requires. The id is invalid once the task has run.
   TimerId After(DurationUs delay, Task task);
   TimerId Every(DurationUs period, Task task);
-  // Runs the task from the loop, `delay` later, unless its owner is gone by
-  // then: a timer that outlives what it works on would touch freed memory.
+  // Runs the task from the loop after `delay`, unless `owner` has been
+  // destroyed by then, so that the task cannot use freed memory.
   void AfterWhile(std::weak_ptr<const void> owner, DurationUs delay, Task task);
   void Cancel(TimerId id);
   void OnSignal(int signal, Task task);
--- a/src/transport/peer_mesh.cc
+++ b/src/transport/peer_mesh.cc
@@ -20,13 +20,15 @@
 namespace {
 
 constexpr guint kConnectTimeoutSeconds = 2;
-// Two probes; a live peer answers the first.
-constexpr gint kPeerSilenceMs = 2000;
-constexpr std::size_t kMaxDatagram = 65507;
-// With a tenth of all ports taken, the last of these fails once in 10^20.
-constexpr int kBindTries = 20;
-
-absl::Status StatusOf(GError* error, std::string_view what) {
+// A connection whose peer acknowledges nothing for this long is closed. The
+// time spans two keep-alive probes; a live peer answers the first.
+constexpr gint kPeerTimeoutMs = 2000;
+constexpr std::size_t kMaxDatagramBytes = 65507;
+// With a tenth of all UDP ports in use, all of these attempts fail once in
+// 10^20 starts.
+constexpr int kMaxBindAttempts = 20;
+
+absl::Status ToStatus(GError* error, std::string_view what) {
   const GErrorPtr owned(error);
   return absl::UnavailableError(
       StrCat(what, ": ", error == nullptr ? "failed" : error->message));
@@ -39,15 +41,15 @@
 
 }  // namespace
 
-// One TCP connection. Callbacks of GIO hold a shared pointer, so a connection
-// lives until its last operation has ended.
+// One TCP connection to a peer. GIO callbacks hold a shared pointer to it, so
+// it lives until its last asynchronous operation has ended.
 struct Connection : std::enable_shared_from_this<Connection> {
   PeerMeshImpl* mesh = nullptr;
   NodeId peer;  // Empty on an accepted connection until its first frame.
   GPtr<GSocketConnection> socket;
   GPtr<GCancellable> cancellable{g_cancellable_new()};
-  std::deque<Message> waiting;  // Until the connection is made.
-  std::deque<GBytesPtr> writing;
+  std::deque<Message> unsent_messages;  // Messages to send once connected.
+  std::deque<GBytesPtr> write_queue;
   bool write_active = false;
   bool closed = false;
   std::array<char, kFramePrefixSize> prefix{};
@@ -55,7 +57,7 @@
 
   void StartReading();
   void ReadPrefix();
-  void ReadRest(std::size_t size);
+  void ReadRemainder(std::size_t size);
   void Queue(const std::string& bytes);
   void WriteNext();
   void Close();
@@ -79,12 +81,12 @@
   PeerMeshImpl(PeerOptions options, PeerHandler* handler, Metrics* metrics)
       : options(std::move(options)), handler(handler), metrics(metrics) {}
 
-  std::string FrameOf(const Message& message) {
+  std::string SealFrame(const Message& message) {
     return EncodeFrame(
         {options.node, options.incarnation, ++next_sequence, message},
         options.frame_key);
   }
-  // Opens TCP and UDP on one port.
+  // Binds TCP and UDP sockets to one port.
   absl::Status Bind(GSocketAddress* address);
   void Accept(GSocketConnection* socket);
   void Dial(const NodeId& peer, const Address& address);
@@ -107,20 +109,21 @@
   std::map<NodeId, Address, std::less<>> addresses;
   std::map<NodeId, GPtr<GSocketAddress>, std::less<>> udp_addresses;
   std::map<NodeId, ConnectionPtr, std::less<>> connections;
-  std::vector<ConnectionPtr> anonymous;
+  std::vector<ConnectionPtr> unidentified;
 };
 
 void Connection::StartReading() {
   GSocket* raw = g_socket_connection_get_socket(socket.get());
   g_socket_set_keepalive(raw, TRUE);
-  // The client's connect timeout stays on its socket and would end a quiet
-  // connection, with the calls that wait on it.
+  // GIO leaves the connect timeout set on the socket, where it would close an
+  // idle connection and fail the calls that wait for answers on it.
   g_socket_set_timeout(raw, 0);
   g_socket_set_option(raw, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
-  // Failure: the other host loses power, or the connection falls silent while
-  // new ones work. Symptom: messages wait here for minutes. Unacknowledged
-  // bytes and unanswered probes end it, and the next message dials anew.
-  g_socket_set_option(raw, IPPROTO_TCP, TCP_USER_TIMEOUT, kPeerSilenceMs,
+  // If the peer's host loses power, or the network drops this connection's
+  // packets while new connections work, messages would wait here for minutes.
+  // Unacknowledged bytes and unanswered keep-alive probes close the connection,
+  // and the next message opens a new one.
+  g_socket_set_option(raw, IPPROTO_TCP, TCP_USER_TIMEOUT, kPeerTimeoutMs,
                       nullptr);
   g_socket_set_option(raw, IPPROTO_TCP, TCP_KEEPIDLE, 1, nullptr);
   g_socket_set_option(raw, IPPROTO_TCP, TCP_KEEPINTVL, 1, nullptr);
@@ -149,12 +152,12 @@
           self->Close();
           return;
         }
-        self->ReadRest(*size);
+        self->ReadRemainder(*size);
       },
       Hold(shared_from_this()));
 }
 
-void Connection::ReadRest(std::size_t size) {
+void Connection::ReadRemainder(std::size_t size) {
   frame.assign(prefix.data(), prefix.size());
   frame.resize(size);
   GInputStream* in = g_io_stream_get_input_stream(G_IO_STREAM(socket.get()));
@@ -184,19 +187,19 @@
 void Connection::Queue(const std::string& bytes) {
   mesh->metrics->Count("acaciachute_frame_bytes_total", "tcp_out",
                        bytes.size());
-  writing.push_back(BytesOf(bytes));
+  write_queue.push_back(BytesOf(bytes));
   if (!write_active) {
     WriteNext();
   }
 }
 
 void Connection::WriteNext() {
-  if (writing.empty() || closed) {
+  if (write_queue.empty() || closed) {
     return;
   }
   write_active = true;
   gsize n = 0;
-  const void* data = g_bytes_get_data(writing.front().get(), &n);
+  const void* data = g_bytes_get_data(write_queue.front().get(), &n);
   GOutputStream* out = g_io_stream_get_output_stream(G_IO_STREAM(socket.get()));
   g_output_stream_write_all_async(
       out, data, n, G_PRIORITY_DEFAULT, cancellable.get(),
@@ -205,7 +208,7 @@
         const bool ok = g_output_stream_write_all_finish(
             G_OUTPUT_STREAM(source), result, nullptr, nullptr);
         self->write_active = false;
-        self->writing.pop_front();
+        self->write_queue.pop_front();
         if (self->closed) {
           return;
         }
@@ -237,7 +240,7 @@
   if (!g_socket_listener_add_address(
           G_SOCKET_LISTENER(service.get()), address, G_SOCKET_TYPE_STREAM,
           G_SOCKET_PROTOCOL_TCP, nullptr, &bound, &error)) {
-    return StatusOf(error, "listen on TCP");
+    return ToStatus(error, "listen on TCP");
   }
   const GPtr<GSocketAddress> owned(bound);
   port = g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(bound));
@@ -245,7 +248,7 @@
                          G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP,
                          &error));
   if (!udp || !g_socket_bind(udp.get(), bound, FALSE, &error)) {
-    return StatusOf(error, "listen on UDP");
+    return ToStatus(error, "listen on UDP");
   }
   return absl::OkStatus();
 }
@@ -254,7 +257,7 @@
   auto connection = std::make_shared<Connection>();
   connection->mesh = this;
   connection->socket = Share(socket);
-  anonymous.push_back(connection);
+  unidentified.push_back(connection);
   connection->StartReading();
 }
 
@@ -284,8 +287,8 @@
                             GSocketConnection* socket) {
   if (socket == nullptr) {
     metrics->Count("acaciachute_dial_failures_total");
-    auto unsent = std::move(connection->waiting);
-    connection->waiting.clear();
+    auto unsent = std::move(connection->unsent_messages);
+    connection->unsent_messages.clear();
     connection->closed = true;
     connections.erase(connection->peer);
     for (const auto& it : unsent) {
@@ -295,10 +298,10 @@
   }
   connection->socket.reset(socket);
   connection->StartReading();
-  for (const auto& it : connection->waiting) {
-    connection->Queue(FrameOf(it));
+  for (const auto& it : connection->unsent_messages) {
+    connection->Queue(SealFrame(it));
   }
-  connection->waiting.clear();
+  connection->unsent_messages.clear();
 }
 
 void PeerMeshImpl::OnFrame(const ConnectionPtr& connection) {
@@ -316,7 +319,7 @@
   }
   if (connection->peer.empty()) {
     connection->peer = envelope->sender;
-    std::erase(anonymous, connection);
+    std::erase(unidentified, connection);
     connections[connection->peer] = connection;
   }
   if (connection->peer != envelope->sender) {
@@ -329,7 +332,7 @@
 }
 
 void PeerMeshImpl::OnClosed(const ConnectionPtr& connection) {
-  std::erase(anonymous, connection);
+  std::erase(unidentified, connection);
   const auto it = connections.find(connection->peer);
   if (it == connections.end() || it->second != connection) {
     return;
@@ -339,7 +342,7 @@
 }
 
 void PeerMeshImpl::OnDatagram() {
-  std::array<char, kMaxDatagram> buf;
+  std::array<char, kMaxDatagramBytes> buf;
   GSocketAddress* raw_from = nullptr;
   const gssize n = g_socket_receive_from(udp.get(), &raw_from, buf.data(),
                                          buf.size(), nullptr, nullptr);
@@ -372,8 +375,8 @@
                                                    metrics)) {
   g_socket_client_set_timeout(impl_->client.get(),
                               detail::kConnectTimeoutSeconds);
-  // Peers are reached by IP number. Looking for a proxy would load the
-  // desktop's settings modules, which write to a home directory.
+  // Peers are addressed by IP, so no proxy applies. GIO's proxy lookup would
+  // load desktop settings modules, which write to a home directory.
   g_socket_client_set_enable_proxy(impl_->client.get(), FALSE);
 }
 
@@ -385,13 +388,13 @@
   if (impl_->service) {
     g_socket_service_stop(impl_->service.get());
   }
-  // Callbacks that still come find `closed` and do nothing.
+  // Pending GIO callbacks see `closed` and return.
   const auto connections = std::move(impl_->connections);
   for (const auto& [unused, it] : connections) {
     it->closed = true;
     g_cancellable_cancel(it->cancellable.get());
   }
-  for (const auto& it : impl_->anonymous) {
+  for (const auto& it : impl_->unidentified) {
     it->closed = true;
     g_cancellable_cancel(it->cancellable.get());
   }
@@ -400,13 +403,13 @@
 absl::Status PeerMesh::Listen() {
   const auto address = detail::SocketAddress(impl_->options.listen);
   if (!address) {
-    return absl::InvalidArgumentError("listen: no IP number");
+    return absl::InvalidArgumentError("listen: address is not an IP address");
   }
-  // Failure: the port that the system chose for TCP is taken for UDP. Symptom:
-  // the node does not start, now and then. Another choice is another number.
-  int tries = impl_->options.listen.port == 0 ? detail::kBindTries : 1;
+  // The port that the kernel chose for TCP may be in use for UDP, which made
+  // some starts fail at random. Each further attempt gets another port.
+  int attempts = impl_->options.listen.port == 0 ? detail::kMaxBindAttempts : 1;
   absl::Status status = impl_->Bind(address.get());
-  while (!status.ok() && --tries > 0) {
+  while (!status.ok() && --attempts > 0) {
     status = impl_->Bind(address.get());
   }
   if (!status.ok()) {
@@ -455,9 +458,9 @@
     it = impl_->connections.find(peer);
   }
   if (it->second->socket) {
-    it->second->Queue(impl_->FrameOf(message));
+    it->second->Queue(impl_->SealFrame(message));
   } else {
-    it->second->waiting.push_back(message);
+    it->second->unsent_messages.push_back(message);
   }
 }
 
@@ -466,17 +469,17 @@
   if (it == impl_->udp_addresses.end() || !it->second) {
     return;
   }
-  const std::string frame = impl_->FrameOf(message);
+  const std::string frame = impl_->SealFrame(message);
   impl_->metrics->Count("acaciachute_frame_bytes_total", "udp_out",
                         frame.size());
-  // A datagram that cannot be sent is lost like any other.
+  // Send errors are ignored: senders of datagrams tolerate loss.
   g_socket_send_to(impl_->udp.get(), it->second.get(), frame.data(),
                    frame.size(), nullptr, nullptr);
 }
 
 bool PeerMesh::Flushed() const {
   for (const auto& [unused, it] : impl_->connections) {
-    if (!it->waiting.empty() || !it->writing.empty()) {
+    if (!it->unsent_messages.empty() || !it->write_queue.empty()) {
       return false;
     }
   }
--- a/src/transport/peer_mesh.h
+++ b/src/transport/peer_mesh.h
@@ -1,5 +1,5 @@
-// Frames between the system's processes: TCP for stage calls, results and
-// settings, UDP for heartbeats.
+// Sends and receives frames between this system's processes: TCP for stage
+// calls, results and settings, UDP for heartbeats.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_PEER_MESH_H_
 #define ACACIACHUTE_SRC_TRANSPORT_PEER_MESH_H_
 
@@ -27,9 +27,10 @@
   virtual void OnPeerDatagram(const NodeId& from,
                               Incarnation incarnation,
                               const Message& message) = 0;
-  // The connection broke: what was sent may have arrived.
+  // The connection to `peer` was closed. Messages sent on it may or may not
+  // have arrived.
   virtual void OnPeerLost(const NodeId& peer) = 0;
-  // The connection was never made: `message` did not leave this process.
+  // The connection could not be established, so `message` was not sent.
   virtual void OnUnsent(const NodeId& peer, const Message& message) = 0;
 };
 
@@ -51,12 +52,13 @@
   absl::Status Listen();
   std::uint16_t port() const;
 
-  // Where `peer` listens. Peers that have spoken first need none.
+  // Sets the address on which `peer` listens. Not needed to reply to a peer
+  // that sent a message first.
   void SetAddress(const NodeId& peer, const Address& address);
   void Send(const NodeId& peer, const Message& message);
   void SendDatagram(const NodeId& peer, const Message& message);
 
-  // Whether everything sent has reached the kernel.
+  // Whether all messages passed to `Send` have been written to their sockets.
   bool Flushed() const;
 
  private:
--- a/src/transport/socket_poller.h
+++ b/src/transport/socket_poller.h
@@ -1,10 +1,9 @@
-// All sockets of a process behind one descriptor of the main loop.
+// Watches all sockets of a process by one epoll descriptor in the main loop.
 //
-// Load pattern: some 400 connections, of which a few are ready at a time. GLib
-// goes over every source for every event; with one source a socket that took
-// most of a gateway's processor time, and hosts with a tenth of a core answered
-// late. The kernel keeps the list here (epoll), and an event costs the same
-// whatever the number of sockets.
+// GLib iterates over every source for every event. With one source per socket
+// and some 400 connections, of which only a few were ready at a time, this took
+// most of a gateway's CPU time, and hosts with a tenth of a core answered late.
+// With epoll the cost of an event does not depend on the number of sockets.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_SOCKET_POLLER_H_
 #define ACACIACHUTE_SRC_TRANSPORT_SOCKET_POLLER_H_
 
@@ -15,24 +14,27 @@
 class SocketWatcher {
  public:
   virtual ~SocketWatcher() = default;
-  // Also called for what the socket's error or hang-up lets it find out.
+  // Also called on an error or hang-up of the socket; reading then returns the
+  // error.
   virtual void OnReadable() = 0;
   virtual void OnWritable() = 0;
 };
 
 class SocketPoller {
  public:
-  // Sockets handled before timers and signals have their turn.
-  static constexpr int kEventsATurn = 64;
+  // Maximum number of socket events handled before the loop runs due timers and
+  // signals.
+  static constexpr int kMaxEventsPerTurn = 64;
 
   SocketPoller();
   ~SocketPoller();
   SocketPoller(const SocketPoller&) = delete;
   SocketPoller& operator=(const SocketPoller&) = delete;
 
-  // Tells `watcher` from now on, for as long as the socket is ready. With
-  // neither, the socket is not watched at all, not even for its end. Due with
-  // neither before `fd` is closed.
+  // Calls `watcher` for as long as the socket is readable or writable, as
+  // requested. With neither requested, the socket is not watched at all, not
+  // even for errors or hang-ups. The caller must stop watching, by requesting
+  // neither, before it closes `fd`.
   void Watch(int fd, SocketWatcher* watcher, bool readable, bool writable);
 
  private:
--- a/src/transport/socket_stream.cc
+++ b/src/transport/socket_stream.cc
@@ -12,28 +12,28 @@
 namespace acaciachute {
 namespace {
 
-constexpr std::size_t kReadBytes = 32 << 10;
+constexpr std::size_t kReadBufferBytes = 32 << 10;
 
 void SetOptions(GSocket* socket) {
   g_socket_set_blocking(socket, FALSE);
   g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
   g_socket_set_option(
       socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
-      static_cast<gint>(SocketStream::kPeerSilence / kMillisecond), nullptr);
+      static_cast<gint>(SocketStream::kPeerTimeout / kMillisecond), nullptr);
 }
 
-// Failure: a replica loses power after it took a request, or its connection
-// falls silent while new ones work. Symptom: nothing of the request is left to
-// be acknowledged, so nothing ends the connection, and its client hears nothing
-// until its time is over. Probes that stay unanswered end it.
-void SetProbes(GSocket* socket) {
+// Enables keep-alive probes. If a replica loses power after it acknowledged a
+// request, or the network drops this connection's packets while new connections
+// work, no unacknowledged bytes are left that would end the connection, and the
+// client would wait until its deadline. Unanswered probes end the connection.
+void EnableProbes(GSocket* socket) {
   g_socket_set_keepalive(socket, TRUE);
-  g_socket_set_option(socket, IPPROTO_TCP, TCP_KEEPCNT, SocketStream::kProbes,
-                      nullptr);
+  g_socket_set_option(socket, IPPROTO_TCP, TCP_KEEPCNT,
+                      SocketStream::kMaxUnansweredProbes, nullptr);
   for (const gint option : {TCP_KEEPIDLE, TCP_KEEPINTVL}) {
-    g_socket_set_option(socket, IPPROTO_TCP, option,
-                        static_cast<gint>(SocketStream::kProbeEvery / kSecond),
-                        nullptr);
+    g_socket_set_option(
+        socket, IPPROTO_TCP, option,
+        static_cast<gint>(SocketStream::kProbeInterval / kSecond), nullptr);
   }
 }
 
@@ -79,7 +79,7 @@
   }
   std::shared_ptr<SocketStream> stream(
       new SocketStream(poller, std::move(socket), handler));
-  SetProbes(stream->socket_.get());
+  EnableProbes(stream->socket_.get());
   g_socket_connect(stream->socket_.get(), target.get(), nullptr, &raw_error);
   if (raw_error != nullptr) {
     const GErrorPtr error(raw_error);
@@ -92,17 +92,17 @@
 }
 
 void SocketStream::Watch(bool readable, bool writable) {
-  if (readable == reads_ && writable == writes_) {
+  if (readable == watches_readable_ && writable == watches_writable_) {
     return;
   }
-  reads_ = readable;
-  writes_ = writable;
+  watches_readable_ = readable;
+  watches_writable_ = writable;
   poller_->Watch(g_socket_get_fd(socket_.get()), this, readable, writable);
 }
 
 void SocketStream::SetReading(bool reading) {
   if (handler_ != nullptr && connected_) {
-    Watch(reading, writes_);
+    Watch(reading, watches_writable_);
   }
 }
 
@@ -110,21 +110,21 @@
   if (handler_ == nullptr) {
     return;
   }
-  const bool was_empty = out_.empty();
-  out_ += bytes;
+  const bool was_empty = unsent_.empty();
+  unsent_ += bytes;
   if (connected_ && was_empty) {
     Flush();
   }
 }
 
-// Errors are reported from the loop, not to whoever writes: the writer may be
-// in the middle of a decision.
+// Errors are stored and reported from the loop, because the caller of `Write`
+// may not expect a callback.
 void SocketStream::Flush() {
   std::size_t done = 0;
-  while (done < out_.size()) {
+  while (done < unsent_.size()) {
     GError* raw_error = nullptr;
-    const gssize n = g_socket_send(socket_.get(), out_.data() + done,
-                                   out_.size() - done, nullptr, &raw_error);
+    const gssize n = g_socket_send(socket_.get(), unsent_.data() + done,
+                                   unsent_.size() - done, nullptr, &raw_error);
     if (n < 0) {
       const GErrorPtr error(raw_error);
       if (!g_error_matches(error.get(), G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK)) {
@@ -134,16 +134,16 @@
     }
     done += static_cast<std::size_t>(n);
   }
-  out_.erase(0, done);
-  Watch(reads_, !out_.empty());
-  if (out_.empty() && finishing_) {
+  unsent_.erase(0, done);
+  Watch(watches_readable_, !unsent_.empty());
+  if (unsent_.empty() && finishing_) {
     g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
   }
 }
 
 void SocketStream::OnReadable() {
-  const auto self = shared_from_this();  // A callback may let go of it.
-  std::array<char, kReadBytes> buf;
+  const auto self = shared_from_this();  // The handler may drop its reference.
+  std::array<char, kReadBufferBytes> buf;
   GError* raw_error = nullptr;
   const gssize n = g_socket_receive(socket_.get(), buf.data(), buf.size(),
                                     nullptr, &raw_error);
@@ -180,14 +180,14 @@
   Flush();
   if (!send_error_.empty()) {
     End(send_error_.c_str());
-  } else if (out_.empty()) {
+  } else if (unsent_.empty()) {
     handler_->OnFlushed();
   }
 }
 
 void SocketStream::FinishWriting() {
   finishing_ = true;
-  if (connected_ && out_.empty() && handler_ != nullptr) {
+  if (connected_ && unsent_.empty() && handler_ != nullptr) {
     g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
   }
 }
--- a/src/transport/socket_stream.h
+++ b/src/transport/socket_stream.h
@@ -1,5 +1,5 @@
-// One TCP connection on GLib's loop: reads as bytes arrive, writes without
-// blocking, bounds what it holds.
+// One TCP connection on the main loop: delivers bytes as they arrive, writes
+// without blocking, and closes connections whose peer is unresponsive.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_SOCKET_STREAM_H_
 #define ACACIACHUTE_SRC_TRANSPORT_SOCKET_STREAM_H_
 
@@ -22,28 +22,29 @@
   virtual ~SocketHandler() = default;
   virtual void OnConnected() {}
   virtual void OnBytes(std::string_view bytes) = 0;
-  // The other side sent its last byte (`error` is null) or the connection
-  // broke. Nothing follows.
+  // The peer closed its sending side (`error` is null) or the connection broke.
+  // No further callback follows.
   virtual void OnEnd(const char* error) = 0;
-  // Everything written has reached the kernel.
+  // All bytes written have been passed to the kernel.
   virtual void OnFlushed() {}
 };
 
 class SocketStream : public std::enable_shared_from_this<SocketStream>,
                      private SocketWatcher {
  public:
-  // Unacknowledged bytes end the connection after this, and so do unanswered
-  // probes of one that this side opened. A peer that lost power answers
-  // nothing, and without it a write waits for the kernel's own 15 minutes.
-  static constexpr DurationUs kPeerSilence = 3 * kSecond;
-  static constexpr DurationUs kProbeEvery = kSecond;
-  static constexpr int kProbes = 2;  // That may stay unanswered.
+  // A connection is closed when sent bytes stay unacknowledged, or, on a
+  // connection that this side opened, when probes stay unanswered, for this
+  // long. A peer that lost power acknowledges nothing, and by the kernel's
+  // default a write would wait for 15 minutes.
+  static constexpr DurationUs kPeerTimeout = 3 * kSecond;
+  static constexpr DurationUs kProbeInterval = kSecond;
+  static constexpr int kMaxUnansweredProbes = 2;
 
-  // Takes an accepted socket. `poller` outlives the stream.
+  // Wraps an accepted socket. `poller` must outlive the stream.
   static std::shared_ptr<SocketStream> Accepted(SocketPoller* poller,
                                                 GPtr<GSocket> socket,
                                                 SocketHandler* handler);
-  // `OnConnected` or `OnEnd` follows.
+  // Starts to connect. The handler's `OnConnected` or `OnEnd` follows.
   static absl::StatusOr<std::shared_ptr<SocketStream>>
   Connect(SocketPoller* poller, const Address& address, SocketHandler* handler);
   ~SocketStream() override;
@@ -51,16 +52,18 @@
   SocketStream& operator=(const SocketStream&) = delete;
 
   void Write(std::string_view bytes);
-  // Stops reading, so that the peer's window fills; hang-ups go unnoticed.
+  // Pauses or resumes reading. While paused, the receive window fills, so that
+  // the peer stops sending, and a disconnect is not detected.
   void SetReading(bool reading);
-  // Ends the sending side once everything is written.
+  // Shuts down the sending side once all bytes have been written.
   void FinishWriting();
-  // No callback follows either of these. `Abort` tells the peer that the bytes
-  // before were not all; `Close` ends in order.
+  // Both end the stream without a further callback. `Close` closes the
+  // connection in order; `Abort` resets it, so that the peer knows that the
+  // bytes sent so far are incomplete.
   void Close();
   void Abort();
 
-  std::size_t unsent() const { return out_.size(); }
+  std::size_t unsent() const { return unsent_.size(); }
   bool connected() const { return connected_; }
 
  private:
@@ -79,12 +82,12 @@
   SocketPoller* const poller_;
   const GPtr<GSocket> socket_;
   SocketHandler* handler_;
-  std::string out_;
-  std::string send_error_;  // Told from the loop.
+  std::string unsent_;
+  std::string send_error_;  // Reported from the loop.
   bool connected_ = false;
   bool finishing_ = false;
-  bool reads_ = false;  // What is watched.
-  bool writes_ = false;
+  bool watches_readable_ = false;  // Events watched now.
+  bool watches_writable_ = false;
 };
 
 }  // namespace acaciachute
--- a/src/transport/trace_log.cc
+++ b/src/transport/trace_log.cc
@@ -46,7 +46,7 @@
 
 void TraceLog::Add(const Span& span) {
   spans_.push_back(span);
-  if (spans_.size() > kMostSpans) {
+  if (spans_.size() > kMaxSpans) {
     spans_.pop_front();
   }
 }
--- a/src/transport/trace_log.h
+++ b/src/transport/trace_log.h
@@ -1,4 +1,5 @@
-// The latest spans of this process as OpenTelemetry JSON (OTLP/HTTP format).
+// Keeps the latest spans of this process and writes them as OpenTelemetry JSON
+// (OTLP/HTTP format).
 #ifndef ACACIACHUTE_SRC_TRANSPORT_TRACE_LOG_H_
 #define ACACIACHUTE_SRC_TRANSPORT_TRACE_LOG_H_
 
@@ -13,13 +14,14 @@
 
 class TraceLog {
  public:
-  // Spans kept; a few seconds' worth at today's load.
-  static constexpr std::size_t kMostSpans = 4096;
+  // Maximum number of spans kept; a few seconds' worth at the present load.
+  static constexpr std::size_t kMaxSpans = 4096;
 
   explicit TraceLog(NodeId node) : node_(std::move(node)) {}
 
   void Add(const Span& span);
-  // Those of one trace (32 hex digits), or all when empty.
+  // Returns the spans of one trace (an id of 32 hex digits), or all spans if
+  // `trace_id` is empty.
   std::string ToJson(std::string_view trace_id) const;
 
  private:
--- a/src/transport/upstream_client.cc
+++ b/src/transport/upstream_client.cc
@@ -21,7 +21,7 @@
 constexpr int kHttpConflict = 409;
 constexpr int kHttpNotFound = 404;
 
-// A load report that takes longer is of no use.
+// A load report that takes longer would be out of date.
 constexpr DurationUs kReportTimeout = kSecond;
 
 std::string CallName(const StageKey& key) {
@@ -42,7 +42,7 @@
   HttpClient::CallId http = 0;
   std::string name;
   bool stream = false;
-  bool ended = false;  // The stream's end marker was seen.
+  bool ended = false;  // Whether the stream's end event was received.
   EventStreamReader reader;
 };
 
@@ -56,8 +56,8 @@
   return result.whole ? UpstreamError::kMalformed : UpstreamError::kBroken;
 }
 
-// Zero when the answer names none.
-FenceNumber FenceIn(const HttpResult& result) {
+// Returns the fencing number in the answer, or zero if there is none.
+FenceNumber ParseFence(const HttpResult& result) {
   const Json in = Json::parse(result.body, nullptr, false);
   return in.is_object() && in.contains("fence") &&
                  in["fence"].is_number_unsigned()
@@ -94,9 +94,9 @@
   std::map<UpstreamCallId, RunningCall> running;
 };
 
-// Failure: the upstream's answer is cut, no JSON, or another request's.
-// Symptom: a caller receives part of an answer, or somebody else's. Only a
-// whole body that names the call and parses is an answer.
+// Delivers an answer only if it is complete, carries the id of the call, and is
+// valid JSON or, for a stream, ended with the end event. Otherwise a caller
+// could receive part of an answer or the answer to another request.
 void UpstreamClient::Impl::OnDone(UpstreamCallId id, const HttpResult& result) {
   const auto it = running.find(id);
   if (it == running.end()) {
@@ -131,12 +131,12 @@
   }
   const auto events = it->second.reader.Add(part);
   for (const auto& event : events) {
-    const auto again = running.find(id);
-    if (again == running.end()) {
+    const auto still_running = running.find(id);
+    if (still_running == running.end()) {
       return;
     }
     if (event.name == "end") {
-      again->second.ended = true;
+      still_running->second.ended = true;
     } else if (event.name.empty()) {
       callbacks.chunk(id, event.data, false);
     }
@@ -189,18 +189,21 @@
   request.body = Json{{"id", it->second.name}}.dump();
   request.repeatable = true;
   impl_->running.erase(it);
-  // Its connection is closed as well; the call only frees the slot earlier.
+  // Closing the connection already cancels the call; this request only frees
+  // the upstream's slot earlier.
   impl_->reports.Call(request, [](const HttpResult&) {});
 }
 
 void UpstreamClient::ReadFence(
-    const std::function<void(bool known, bool keeps, FenceNumber)>& done) {
+    const std::function<void(bool known, bool enforces_fence, FenceNumber)>&
+        done) {
   HttpRequest request;
   request.url = StrCat(impl_->url, "/v1/fence");
   request.repeatable = true;
   impl_->reports.Call(request, [done](const HttpResult& result) {
-    const bool keeps = result.status == kHttpOk && result.whole;
-    done(keeps || result.status == kHttpNotFound, keeps, FenceIn(result));
+    const bool enforces_fence = result.status == kHttpOk && result.whole;
+    done(enforces_fence || result.status == kHttpNotFound, enforces_fence,
+         ParseFence(result));
   });
 }
 
@@ -217,7 +220,7 @@
                       {"version", order.model_version}}
                      .dump();
   impl_->calls.Call(request, [done](const HttpResult& result) {
-    done(OutcomeOf(result), FenceIn(result));
+    done(OutcomeOf(result), ParseFence(result));
   });
 }
 
--- a/src/transport/upstream_client.h
+++ b/src/transport/upstream_client.h
@@ -1,5 +1,5 @@
-// The sidecar's HTTP towards its upstream (docs/PLATFORM.md gives the
-// protocol): stage calls, cancels and load reports.
+// The sidecar's HTTP client for its upstream: stage calls, cancellations,
+// control orders and load reports. docs/PLATFORM.md specifies the protocol.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_UPSTREAM_CLIENT_H_
 #define ACACIACHUTE_SRC_TRANSPORT_UPSTREAM_CLIENT_H_
 
@@ -28,10 +28,12 @@
 
   void Call(UpstreamCallId id, const StageCall& call, DurationUs time_left);
   void Cancel(UpstreamCallId id);
-  // The upstream's own fencing number. `known` is false when it did not answer,
-  // `keeps` when it ignores numbers.
+  // Reads the fencing number that the upstream stores. `known` is false if it
+  // did not answer; `enforces_fence` is false if it does not check fencing
+  // numbers.
   void ReadFence(
-      const std::function<void(bool known, bool keeps, FenceNumber)>& done);
+      const std::function<void(bool known, bool enforces_fence, FenceNumber)>&
+          done);
   void PassOrder(const ControlOrder& order,
                  const std::function<void(OrderOutcome, FenceNumber)>& done);
   void AskReport(const std::function<void(const UpstreamReport&)>& done);
--- a/src/transport/wakeup.h
+++ b/src/transport/wakeup.h
@@ -1,4 +1,5 @@
-// Keeps one timer at the moment for which a core asks next.
+// One timer, set to the earliest time at which a state machine asks to run
+// next.
 #ifndef ACACIACHUTE_SRC_TRANSPORT_WAKEUP_H_
 #define ACACIACHUTE_SRC_TRANSPORT_WAKEUP_H_
 
@@ -18,8 +19,8 @@
   Wakeup(const Wakeup&) = delete;
   Wakeup& operator=(const Wakeup&) = delete;
 
-  // Runs the task at `at`; a timer that is due sooner stays, because the task
-  // sets it again.
+  // Runs the task at `at`. A timer that is due sooner is kept, because its task
+  // calls `At` again.
   void At(TimeUs at) {
     if (timer_ != 0 && at_ <= at) {
       return;
