--- a/src/protocol/bearer.cc
+++ b/src/protocol/bearer.cc
@@ -7,7 +7,7 @@
 namespace acaciachute {
 namespace {
 
-constexpr std::size_t kMaxTokenSize = 512;
+constexpr std::size_t kMaxTokenBytes = 512;
 
 bool EqualInConstantTime(std::string_view a, std::string_view b) {
   unsigned char diff = a.size() == b.size() ? 0 : 1;
@@ -32,17 +32,17 @@
 
 std::string AccountOfToken(const Settings& settings, std::string_view token) {
   const auto dot = token.rfind('.');
-  if (token.size() > kMaxTokenSize || dot == std::string_view::npos) {
+  if (token.size() > kMaxTokenBytes || dot == std::string_view::npos) {
     return "";
   }
   const std::string_view name = token.substr(0, dot);
   const Account* account = settings.FindAccount(name);
   const std::string hash =
       TokenHash(account == nullptr ? "none" : account->token_salt, token);
-  const bool same = EqualInConstantTime(
+  const bool matches = EqualInConstantTime(
       hash,
       account == nullptr ? std::string(hash.size(), '-') : account->token_hash);
-  return same && account != nullptr ? std::string(name) : "";
+  return matches && account != nullptr ? std::string(name) : "";
 }
 
 }  // namespace acaciachute
--- a/src/protocol/bearer.h
+++ b/src/protocol/bearer.h
@@ -1,8 +1,10 @@
-// Bearer tokens of callers: "<account>.<secret>".
+// Checks the bearer tokens of clients, which have the form
+// "<account>.<secret>".
 //
-// The token names its account, so that one hash decides, whatever the number
-// of accounts; 33,000 salted hashes a request would take tens of milliseconds,
-// and a cache of tokens seen would still let made-up ones cost that much.
+// The token names its account, so that one hash decides, whatever the number of
+// accounts. Hashing a token with the salts of 33,000 accounts would take tens
+// of milliseconds per request, and with a cache of known tokens an invented
+// one would still cost that much.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_BEARER_H_
 #define ACACIACHUTE_SRC_PROTOCOL_BEARER_H_
 
@@ -13,11 +15,13 @@
 
 namespace acaciachute {
 
-// Hex SHA-256 of salt followed by token, as settings keep it.
+// Returns the SHA-256 of `salt` followed by `token` in hex, as stored in
+// settings.
 std::string TokenHash(std::string_view salt, std::string_view token);
 
-// Account whose bearer token this is; empty for none. Takes the same time
-// whether or not the account exists and however much of the hash agrees.
+// Returns the account whose bearer token this is, or an empty string. Takes the
+// same time whether or not the account exists and however many bytes of the
+// hash agree, so that timing reveals neither.
 std::string AccountOfToken(const Settings& settings, std::string_view token);
 
 }  // namespace acaciachute
--- a/src/protocol/caller_http.cc
+++ b/src/protocol/caller_http.cc
@@ -15,7 +15,7 @@
 using Json = nlohmann::json;
 
 constexpr std::string_view kProblemType = "application/problem+json";
-constexpr std::string_view kBearer = "Bearer ";
+constexpr std::string_view kBearerPrefix = "Bearer ";
 
 std::string Dump(const Json& json) {
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -25,12 +25,13 @@
   return {Refusal::kMalformed, std::move(detail)};
 }
 
-// A header with one of two values, or the fallback when it is absent.
-std::optional<bool> Choice(const HttpHead& head,
-                           const char* name,
-                           std::string_view yes,
-                           std::string_view no,
-                           bool fallback) {
+// Reads a header whose value is `yes` or `no`: returns `fallback` if the header
+// is absent, nothing for any other value.
+std::optional<bool> ReadFlag(const HttpHead& head,
+                             const char* name,
+                             std::string_view yes,
+                             std::string_view no,
+                             bool fallback) {
   const auto text = head.header(name);
   if (!text) {
     return fallback;
@@ -47,17 +48,17 @@
   return g_utf8_validate_len(text.data(), text.size(), nullptr) != FALSE;
 }
 
-// One segment of a path without its escapes; none when it is empty, over long
-// or no UTF-8.
+// Returns one path segment with its escapes decoded, or nothing if it is empty,
+// longer than `max_bytes` or not UTF-8.
 std::optional<std::string> ReadSegment(const std::string& part,
-                                       std::size_t longest) {
+                                       std::size_t max_bytes) {
   gchar* text = g_uri_unescape_string(part.c_str(), nullptr);
   if (text == nullptr) {
     return std::nullopt;
   }
   std::string out(text);
   g_free(text);
-  if (out.empty() || out.size() > longest || !IsUtf8(out)) {
+  if (out.empty() || out.size() > max_bytes || !IsUtf8(out)) {
     return std::nullopt;
   }
   return out;
@@ -74,12 +75,13 @@
   const auto [end, ec] = std::from_chars(text->data(), last, ms);
   if (ec != std::errc() || end != last || ms > kMaxDeadlineMs) {
     return Malformed(
-        StrCat("Acaciachute-Deadline-Ms: allowed is a whole number from 1 to ",
+        StrCat("Acaciachute-Deadline-Ms: allowed is an integer from 1 to ",
                kMaxDeadlineMs));
   }
   request->deadline = ms * kMillisecond;
   if (request->deadline <= head.waited) {
-    return Rejection{Refusal::kLate, "the deadline has passed"};
+    return Rejection{Refusal::kLate,
+                     "the deadline passed before the request was read"};
   }
   return std::nullopt;
 }
@@ -91,24 +93,26 @@
         StrCat("Idempotency-Key: longer than ", kMaxKeySize, " bytes"));
   }
   if (!IsUtf8(request->key)) {
-    return Malformed("Idempotency-Key: no UTF-8");
+    return Malformed("Idempotency-Key: not valid UTF-8");
   }
   if (!request->idempotent && request->key.empty()) {
-    return Malformed("Idempotency-Key: required when not idempotent");
+    return Malformed(
+        "Idempotency-Key: required for a request that is not idempotent");
   }
   return std::nullopt;
 }
 
-std::optional<Rejection> ReadKind(const HttpHead& head,
-                                  CallerRequest* request) {
+std::optional<Rejection> ReadClassAndIdempotence(const HttpHead& head,
+                                                 CallerRequest* request) {
   const auto urgent =
-      Choice(head, "Acaciachute-Class", "urgent", "patient", false);
+      ReadFlag(head, "Acaciachute-Class", "urgent", "patient", false);
   if (!urgent) {
     return Malformed("Acaciachute-Class: allowed are urgent and patient");
   }
-  // A plain service's call may be repeated only when its caller says so.
-  const auto idempotent = Choice(head, "Acaciachute-Idempotent", "true",
-                                 "false", request->service_pool.empty());
+  // A request to a plain service counts as idempotent only if its caller says
+  // so.
+  const auto idempotent = ReadFlag(head, "Acaciachute-Idempotent", "true",
+                                   "false", request->service_pool.empty());
   if (!idempotent) {
     return Malformed("Acaciachute-Idempotent: allowed are true and false");
   }
@@ -125,7 +129,7 @@
                      StrCat("the body is over ", kMaxBodySize, " bytes")};
   }
   if (!Json::accept(body)) {
-    return Malformed("the body is no valid JSON in UTF-8");
+    return Malformed("the body is not valid JSON in UTF-8");
   }
   request->body = body;
   return std::nullopt;
@@ -133,21 +137,21 @@
 
 std::string ReadBearer(const HttpHead& head) {
   const auto text = head.header("Authorization");
-  if (!text || !text->starts_with(kBearer)) {
+  if (!text || !text->starts_with(kBearerPrefix)) {
     return "";
   }
-  return text->substr(kBearer.size());
+  return text->substr(kBearerPrefix.size());
 }
 
-// Fills in what headers and body say of a request whose target is known.
+// Reads headers and body into a request whose target is already set.
 CallerCall ReadRequest(const HttpHead& head,
                        std::string_view body,
                        CallerRequest request) {
   request.waited = head.waited;
   using HeaderReader =
       std::optional<Rejection> (*)(const HttpHead&, CallerRequest*);
-  static constexpr HeaderReader kHeaderReaders[] = {ReadKind, ReadDeadline,
-                                                    ReadKey};
+  static constexpr HeaderReader kHeaderReaders[] = {ReadClassAndIdempotence,
+                                                    ReadDeadline, ReadKey};
   for (const auto reader : kHeaderReaders) {
     if (auto rejection = reader(head, &request)) {
       return *std::move(rejection);
@@ -161,15 +165,15 @@
   return request;
 }
 
-// What a path and method ask for; account, headers and body come later.
+// Reads method and path only; `ReadRequest` reads the headers and the body.
 CallerCall ReadTarget(const HttpHead& head) {
   const std::vector<std::string> parts = Split(head.path, '/');
-  // "", "v1", "events", event, "requests"[, key]
+  // /v1/events/{event}/requests[/{key}]
   const bool event = parts.size() >= 5 && parts.size() <= 6 &&
                      parts[2] == "events" && parts[4] == "requests";
-  // "", "v1", "requests", key
+  // /v1/requests/{key}
   const bool status = parts.size() == 4 && parts[2] == "requests";
-  // "", "v1", "services", pool, path...
+  // /v1/services/{pool}/{path...}
   const bool service = parts.size() >= 5 && parts[2] == "services";
   if (head.path.size() > kMaxPathSize || parts.size() < 4 || parts[1] != "v1" ||
       !(event || status || service)) {
@@ -177,12 +181,13 @@
   }
   const auto name = ReadSegment(parts[3], kMaxNameSize);
   if (!name) {
-    return Malformed("the path has a name that is empty, too long or no UTF-8");
+    return Malformed(
+        "the path has a name that is empty, too long or not valid UTF-8");
   }
   if (head.method == "GET" && (status || (event && parts.size() == 6))) {
     const auto key = ReadSegment(parts.back(), kMaxKeySize);
     if (!key) {
-      return Malformed("the key is empty, too long or no UTF-8");
+      return Malformed("the key is empty, too long or not valid UTF-8");
     }
     return StatusQuery{"", *key};
   }
@@ -192,12 +197,13 @@
     return request;
   }
   if (head.method != "POST" || !service) {
-    return Malformed("no such method here");
+    return Malformed("the path does not support this method");
   }
   request.service_pool = *name;
   for (std::size_t n = 4; n < parts.size(); ++n) {
     const auto part = ReadSegment(parts[n], kMaxNameSize);
-    // What the upstream would resolve to another path than the one given.
+    // An upstream could resolve such a segment to a path other than the one
+    // given.
     if (!part || *part == "." || *part == ".." || Contains(*part, "/")) {
       return Malformed("the path of the service is malformed");
     }
@@ -214,8 +220,9 @@
   return out;
 }
 
-// Every line of a server-sent event has its own field name.
-std::string Indent(std::string_view part) {
+// Prefixes each line but the first with "data: ", as server-sent events
+// require. The caller writes the prefix of the first line.
+std::string DataLines(std::string_view part) {
   std::string out;
   for (const auto& line : Split(part, '\n')) {
     out += out.empty() ? line : "\ndata: " + line;
@@ -233,7 +240,7 @@
   return cost;
 }
 
-// Whole seconds, rounded up, as RFC 9110 has it.
+// Retry-After in whole seconds, as RFC 9110 requires, rounded up.
 std::int64_t RetryAfterSeconds(const CallerAnswer& answer) {
   return (answer.retry_after + kSecond - 1) / kSecond;
 }
@@ -314,7 +321,7 @@
   if (Contains(part, "\r") || !IsUtf8(part)) {
     return StrCat("event: base64\ndata: ", ToBase64(part), "\n\n");
   }
-  return StrCat("data: ", Indent(part), "\n\n");
+  return StrCat("data: ", DataLines(part), "\n\n");
 }
 
 std::string FormatStreamEnd(const CallerAnswer& answer) {
--- a/src/protocol/caller_http.h
+++ b/src/protocol/caller_http.h
@@ -1,5 +1,5 @@
-// Maps the callers' HTTP interface to the entry's vocabulary and back, without
-// a socket. Refusals are RFC 9457 problem documents.
+// Translates between the HTTP interface for callers and the entry's types,
+// without I/O. Refusals are problem documents as of RFC 9457.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_CALLER_HTTP_H_
 #define ACACIACHUTE_SRC_PROTOCOL_CALLER_HTTP_H_
 
@@ -16,17 +16,18 @@
 
 namespace acaciachute {
 
-// Bounds on what a caller sends; longer is refused before it is stored.
+// Size limits of a request in bytes; the entry refuses a larger one before it
+// stores it.
 inline constexpr std::size_t kMaxBodySize = 1 << 20;
 inline constexpr std::size_t kMaxKeySize = 256;
-inline constexpr std::size_t kMaxNameSize = 256;  // Of events and pools.
+inline constexpr std::size_t kMaxNameSize = 256;  // Of an event or a pool.
 inline constexpr std::size_t kMaxPathSize = 1024;
 
 struct HttpHead {
   std::string method;
-  std::string path;       // As sent, with its escapes.
-  DurationUs waited = 0;  // Since arrival, in this process's own loop.
-  // Value of a header, by its name in any case.
+  std::string path;       // As sent, still percent-encoded.
+  DurationUs waited = 0;  // Time in this process's event loop.
+  // Looks up a header; names are compared without regard to case.
   std::function<std::optional<std::string>(const char* name)> header;
 };
 
@@ -49,18 +50,19 @@
 
 using CallerCall = std::variant<CallerRequest, StatusQuery, Rejection>;
 
-// Reads a call by its path, headers and body. The time that it waited in this
-// process is compared with its deadline before the body is read.
+// Parses a request. Checks the deadline, less the time that the request waited
+// in this process, before it parses the body.
 CallerCall ParseCallerCall(const HttpHead& head,
                            std::string_view body,
                            const Settings& settings);
 
 HttpReply FormatAnswer(const CallerAnswer& answer);
 
-// Parts of a streamed answer as server-sent events. A whole answer ends with
-// the `end` event, which gives its length in bytes, a failed one with `error`;
-// a cut one has neither. A part that such an event cannot carry as it is (a
-// carriage return, no UTF-8) goes as base64 in an event `base64`.
+// Format the parts and the end of a streamed answer as server-sent events. A
+// complete answer ends with the event `end`, which gives its length in bytes,
+// and a failed one with `error`; a truncated answer has neither. A part that an
+// event cannot carry unchanged, because it contains a carriage return or is not
+// UTF-8, is sent base64-encoded in an event `base64`.
 std::string FormatStreamPart(std::string_view part);
 std::string FormatStreamEnd(const CallerAnswer& answer);
 
--- a/src/protocol/event_stream.h
+++ b/src/protocol/event_stream.h
@@ -1,5 +1,5 @@
-// Reads server-sent events (WHATWG HTML, "text/event-stream") from parts that
-// may be cut anywhere.
+// Parses server-sent events (WHATWG HTML, "text/event-stream") from a byte
+// stream that arrives in arbitrary parts.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_EVENT_STREAM_H_
 #define ACACIACHUTE_SRC_PROTOCOL_EVENT_STREAM_H_
 
@@ -10,15 +10,15 @@
 namespace acaciachute {
 
 struct StreamEvent {
-  std::string name;  // Empty for a plain data event.
+  std::string name;  // Empty for an event without a name.
   std::string data;
 };
 
 class EventStreamReader {
  public:
-  // Events that are complete with `bytes`; the rest is kept.
+  // Appends `bytes` and returns the events that are complete now.
   std::vector<StreamEvent> Add(std::string_view bytes);
-  // Bytes kept of an event that is not complete.
+  // Number of bytes buffered of the incomplete event.
   std::size_t pending() const { return pending_.size(); }
 
  private:
--- a/src/protocol/frame.cc
+++ b/src/protocol/frame.cc
@@ -171,26 +171,28 @@
 
 namespace {
 
-// "AC", a version that changes with any message's layout, and a spare byte.
+// "AC", the version of the frame format, which changes with the layout of any
+// message, and a reserved byte.
 constexpr std::array<char, 4> kMagic = {'A', 'C', 5, 0};
-constexpr std::size_t kHashSize = 32;  // SHA-256.
-constexpr std::size_t kMinFrameSize = kFramePrefixSize + kHashSize;
+constexpr std::size_t kHmacSize = 32;  // HMAC-SHA-256.
+constexpr std::size_t kMinFrameBytes = kFramePrefixSize + kHmacSize;
 
-std::string KeyedHash(std::string_view data, std::string_view key) {
+std::string ComputeHmac(std::string_view data, std::string_view key) {
   GHmac* hmac =
       g_hmac_new(G_CHECKSUM_SHA256, reinterpret_cast<const guchar*>(key.data()),
                  key.size());
   g_hmac_update(hmac, reinterpret_cast<const guchar*>(data.data()),
                 static_cast<gssize>(data.size()));
-  std::string out(kHashSize, '\0');
+  std::string out(kHmacSize, '\0');
   gsize n = out.size();
   g_hmac_get_digest(hmac, reinterpret_cast<guint8*>(out.data()), &n);
   g_hmac_unref(hmac);
   return out;
 }
 
-// In constant time, so that a forger learns nothing from how long it takes.
-bool SameBytes(std::string_view a, std::string_view b) {
+// Takes the same time wherever the bytes differ, so that timing does not help
+// to forge a hash.
+bool EqualInConstantTime(std::string_view a, std::string_view b) {
   unsigned char diff = a.size() == b.size() ? 0 : 1;
   for (std::size_t n = 0; n < a.size() && n < b.size(); ++n) {
     diff |= static_cast<unsigned char>(a[n] ^ b[n]);
@@ -208,19 +210,19 @@
   }
   const std::string body = stream.str();
   const auto size =
-      static_cast<std::uint32_t>(kFramePrefixSize + body.size() + kHashSize);
+      static_cast<std::uint32_t>(kFramePrefixSize + body.size() + kHmacSize);
   std::string frame(kMagic.data(), kMagic.size());
   for (int shift = 24; shift >= 0; shift -= 8) {
     frame.push_back(static_cast<char>(size >> shift));
   }
   frame += body;
-  frame += KeyedHash(frame, key);
+  frame += ComputeHmac(frame, key);
   return frame;
 }
 
 absl::StatusOr<std::size_t> FrameSize(std::string_view prefix) {
   if (prefix.size() < kFramePrefixSize) {
-    return absl::InvalidArgumentError("frame: short prefix");
+    return absl::InvalidArgumentError("frame: prefix is truncated");
   }
   if (std::memcmp(prefix.data(), kMagic.data(), kMagic.size()) != 0) {
     return absl::InvalidArgumentError("frame: wrong magic or version");
@@ -229,8 +231,9 @@
   for (std::size_t n = kMagic.size(); n < kFramePrefixSize; ++n) {
     size = size << 8 | static_cast<unsigned char>(prefix[n]);
   }
-  if (size < kMinFrameSize || size > kMaxFrameSize) {
-    return absl::InvalidArgumentError("frame: length out of bounds");
+  if (size < kMinFrameBytes || size > kMaxFrameSize) {
+    return absl::InvalidArgumentError(
+        "frame: length outside the allowed range");
   }
   return size;
 }
@@ -242,18 +245,19 @@
     return size.status();
   }
   if (*size != frame.size()) {
-    return absl::InvalidArgumentError("frame: wrong length");
+    return absl::InvalidArgumentError("frame: length differs from the prefix");
   }
-  const auto hashed = frame.substr(0, frame.size() - kHashSize);
-  if (!SameBytes(KeyedHash(hashed, key), frame.substr(hashed.size()))) {
-    return absl::UnauthenticatedError("frame: wrong hash");
+  const auto signed_part = frame.substr(0, frame.size() - kHmacSize);
+  if (!EqualInConstantTime(ComputeHmac(signed_part, key),
+                           frame.substr(signed_part.size()))) {
+    return absl::UnauthenticatedError("frame: HMAC does not match");
   }
   Envelope envelope;
   try {
-    FrameReader reader(hashed.substr(kFramePrefixSize));
+    FrameReader reader(signed_part.substr(kFramePrefixSize));
     reader(envelope);
   } catch (const std::exception&) {
-    // With a right hash, a peer of another build.
+    // The HMAC is valid, so the sender is a process of another build.
     return absl::InvalidArgumentError("frame: malformed message");
   }
   return envelope;
--- a/src/protocol/frame.h
+++ b/src/protocol/frame.h
@@ -1,5 +1,6 @@
-// Frames between the system's own processes: a header with version, length,
-// sender and sequence, the message, and a keyed hash over all of it.
+// Encodes and decodes the frames that this system's processes exchange: a
+// prefix with format version and length, the sender and its sequence number,
+// the message, and an HMAC over all of it.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_FRAME_H_
 #define ACACIACHUTE_SRC_PROTOCOL_FRAME_H_
 
@@ -14,26 +15,28 @@
 
 namespace acaciachute {
 
-// Larger than any body that a caller may send, with room for the header.
+// Maximum frame size. Leaves space for the largest body that a caller may send
+// plus the other fields of a message.
 inline constexpr std::size_t kMaxFrameSize = 4 << 20;
-// Bytes that tell a frame's whole size.
+// Size of the prefix, which contains the format version and the frame's length.
 inline constexpr std::size_t kFramePrefixSize = 8;
 
 struct Envelope {
   NodeId sender;
   Incarnation incarnation = 0;
-  std::uint64_t sequence = 0;  // Grows with each frame of one incarnation.
+  // Increases with each frame that one incarnation sends.
+  std::uint64_t sequence = 0;
   Message message;
 };
 
 // `key` is the secret that all nodes of a deployment share.
 std::string EncodeFrame(const Envelope& envelope, std::string_view key);
 
-// Size of the frame that starts with `prefix` (`kFramePrefixSize` bytes), or
-// the reason why it is none: wrong magic, version or length.
+// Returns the size of the frame that starts with `prefix` (`kFramePrefixSize`
+// bytes), or an error for a wrong magic number, version or length.
 absl::StatusOr<std::size_t> FrameSize(std::string_view prefix);
 
-// Checks length, version and hash before it reads anything else.
+// Checks version, length and HMAC before it parses anything else.
 absl::StatusOr<Envelope> DecodeFrame(std::string_view frame,
                                      std::string_view key);
 
--- a/src/protocol/frame_reader.h
+++ b/src/protocol/frame_reader.h
@@ -1,11 +1,11 @@
-// Reads what cereal's portable binary archive wrote, from bytes that may be
-// anything.
+// A cereal input archive that reads the format of
+// `cereal::PortableBinaryOutputArchive` from untrusted bytes.
 //
-// Failure: a count of elements in a message is wrong. Symptom: memory is taken
-// for that many before the bytes turn out to be missing, and a few such frames
-// keep a process busy for minutes. Here no count is taken that is above the
-// bytes left, and elements are made one by one, so that memory stays within a
-// constant factor of the message.
+// cereal's own reader allocates memory for the number of elements that a
+// message states before it finds that their bytes are missing; a few frames
+// with a wrong count kept a process busy for minutes. This reader rejects a
+// count above the number of remaining bytes and constructs elements one by one,
+// so that memory stays within a constant factor of the message's size.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_FRAME_READER_H_
 #define ACACIACHUTE_SRC_PROTOCOL_FRAME_READER_H_
 
@@ -20,43 +20,44 @@
 
 namespace acaciachute {
 
-// Throws `cereal::Exception` where the bytes do not fit what is read.
+// Throws `cereal::Exception` if the bytes are not a valid message.
 class FrameReader
     : public cereal::InputArchive<FrameReader, cereal::AllowEmptyClassElision> {
  public:
-  // The first byte tells the order of bytes within numbers.
+  // The first byte states whether numbers are little-endian.
   explicit FrameReader(std::string_view bytes)
-      : InputArchive(this), left_(bytes) {
+      : InputArchive(this), remaining_(bytes) {
     std::uint8_t little = 0;
     Read(&little, sizeof little, sizeof little);
     constexpr bool kLittle = std::endian::native == std::endian::little;
     swap_ = (little != 0) != kLittle;
   }
 
-  // `size` bytes of numbers of `width` bytes each.
+  // Reads `size` bytes, which are numbers of `width` bytes each.
   void Read(void* data, std::size_t size, std::size_t width) {
-    if (size > left_.size()) {
-      throw cereal::Exception("a message that ends early");
+    if (size > remaining_.size()) {
+      throw cereal::Exception("message is truncated");
     }
     auto* const bytes = static_cast<char*>(data);
-    std::memcpy(bytes, left_.data(), size);
-    left_.remove_prefix(size);
+    std::memcpy(bytes, remaining_.data(), size);
+    remaining_.remove_prefix(size);
     for (std::size_t n = 0; swap_ && n < size; n += width) {
       std::reverse(bytes + n, bytes + n + width);
     }
   }
-  // Elements that follow; each takes a byte at least.
+  // Reads the number of elements that follow. As each takes at least one byte,
+  // the count cannot exceed the number of remaining bytes.
   std::size_t ReadCount() {
     cereal::size_type count = 0;
     Read(&count, sizeof count, sizeof count);
-    if (count > left_.size()) {
-      throw cereal::Exception("a count beyond the message");
+    if (count > remaining_.size()) {
+      throw cereal::Exception("element count exceeds the message size");
     }
     return static_cast<std::size_t>(count);
   }
 
  private:
-  std::string_view left_;
+  std::string_view remaining_;
   bool swap_ = false;
 };
 
@@ -88,7 +89,8 @@
 
 namespace traits::detail {
 
-// Whose output is read; cereal compares what both serialize.
+// Declares the archive whose output `FrameReader` reads. cereal checks at
+// compile time that types serialize alike in both.
 template <>
 struct get_output_from_input<acaciachute::FrameReader> {
   using type = PortableBinaryOutputArchive;
@@ -96,7 +98,7 @@
 
 }  // namespace traits::detail
 
-// In this namespace, where cereal looks for vectors.
+// In namespace cereal, where overload resolution finds it for vectors.
 template <class T, class A>
 void CEREAL_LOAD_FUNCTION_NAME(acaciachute::FrameReader& in,
                                std::vector<T, A>& v) {
--- a/src/protocol/http1.cc
+++ b/src/protocol/http1.cc
@@ -17,7 +17,7 @@
 
 namespace http = boost::beast::http;
 
-std::string Text(boost::beast::string_view text) {
+std::string ToString(boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
@@ -25,7 +25,7 @@
 HttpFields CopyFields(const Fields& fields) {
   HttpFields out;
   for (const auto& it : fields) {
-    out.push_back({Text(it.name_string()), Text(it.value())});
+    out.push_back({ToString(it.name_string()), ToString(it.value())});
   }
   return out;
 }
@@ -38,7 +38,8 @@
   return n;
 }
 
-// Only the one transfer coding that every reader understands alike.
+// Whether the only transfer coding, if any, is "chunked", the one that all HTTP
+// implementations parse alike.
 bool OnlyChunked(const HttpFields& fields) {
   const std::string* coding = FindField(fields, "transfer-encoding");
   if (coding == nullptr) {
@@ -48,13 +49,13 @@
          EqualsIgnoreCase(Trim(*coding), "chunked");
 }
 
-// A field that goes on in the next line is joined by some readers and cut by
-// others.
+// Whether a header field is continued on the next line. Some implementations
+// join the lines, others end the field at the line break.
 bool HasFoldedLine(std::string_view head) {
   return Contains(head, "\r\n ") || Contains(head, "\r\n\t");
 }
 
-const char* WhyAmbiguous(const HttpRequestHead& head, bool version_1_1) {
+const char* AmbiguityIn(const HttpRequestHead& head, bool version_1_1) {
   if (CountFields(head.fields, "host") > 1) {
     return "more than one Host field";
   }
@@ -62,7 +63,7 @@
     return "no Host field";
   }
   if (!OnlyChunked(head.fields)) {
-    return "a transfer coding other than chunked";
+    return "the transfer coding is not chunked";
   }
   if (!version_1_1 && FindField(head.fields, "transfer-encoding") != nullptr) {
     return "a transfer coding in HTTP/1.0";
@@ -71,7 +72,7 @@
     return "more than one Content-Length field";
   }
   if (head.target.empty() || head.target.front() != '/') {
-    return "the target is not a path";
+    return "the request target is not a path";
   }
   return nullptr;
 }
@@ -110,11 +111,11 @@
     error = std::move(why);
   }
 
-  void TakeParsedHead(std::string_view raw) {
+  void SetHead(std::string_view raw) {
     const auto& message = parser->get();
     const bool version_1_1 = message.version() >= 11;
-    head.method = Text(message.method_string());
-    head.target = Text(message.target());
+    head.method = ToString(message.method_string());
+    head.target = ToString(message.target());
     head.fields = CopyFields(message.base());
     head.keep_alive = parser->keep_alive();
     head.chunked_answer = version_1_1;
@@ -123,13 +124,13 @@
         expect != nullptr && EqualsIgnoreCase(*expect, "100-continue");
     state = State::kBody;
     if (HasFoldedLine(raw)) {
-      Fail(400, "a field that goes on in the next line");
-    } else if (const char* why = WhyAmbiguous(head, version_1_1)) {
+      Fail(400, "a header field is folded over several lines");
+    } else if (const char* why = AmbiguityIn(head, version_1_1)) {
       Fail(400, why);
     }
   }
 
-  // Whether the parser got any further.
+  // Parses more of `buf`. Returns whether any bytes were consumed.
   bool Step(std::string* buf) {
     boost::beast::error_code ec;
     const std::size_t n =
@@ -139,7 +140,7 @@
       return false;
     }
     if (state == State::kHead && parser->is_header_done()) {
-      TakeParsedHead(std::string_view(*buf).substr(0, n));
+      SetHead(std::string_view(*buf).substr(0, n));
     }
     buf->erase(0, n);
     if (state == State::kBody && parser->is_done()) {
@@ -192,19 +193,19 @@
   explicit Impl(bool to_head_request) : to_head(to_head_request) { Reset(); }
 
   void Reset() {
-    // An upstream's head is trusted to be larger than a caller's, not endless.
-    constexpr std::uint32_t kHeadBytes = 64 << 10;
+    // Upstreams may send larger heads than clients, but not unlimited ones.
+    constexpr std::uint32_t kMaxHeadBytes = 64 << 10;
     parser.emplace();
-    parser->header_limit(kHeadBytes);
+    parser->header_limit(kMaxHeadBytes);
     parser->body_limit(boost::none);
     parser->eager(true);
     parser->skip(to_head);
   }
 
-  void TakeParsedHead() {
+  void SetHead() {
     const auto& message = parser->get();
     head.status = static_cast<int>(message.result_int());
-    head.reason = Text(message.reason());
+    head.reason = ToString(message.reason());
     head.fields = CopyFields(message.base());
     head.keep_alive = parser->keep_alive();
     state = State::kBody;
@@ -212,7 +213,7 @@
         (FindField(head.fields, "transfer-encoding") != nullptr &&
          FindField(head.fields, "content-length") != nullptr)) {
       state = State::kBad;
-      error = "an ambiguous body length";
+      error = "the answer's body length is ambiguous";
     }
   }
 
@@ -233,7 +234,7 @@
       return false;
     }
     if (state == State::kHead && parser->is_header_done()) {
-      TakeParsedHead();
+      SetHead();
     }
     if (state == State::kBody && parser->is_done()) {
       state = State::kDone;
@@ -242,7 +243,8 @@
     return n > 0;
   }
 
-  // "100 Continue" and its like come before the answer.
+  // Discards an interim answer such as "100 Continue", which precedes the final
+  // one.
   void SkipInterim() {
     constexpr int kFirstFinal = 200;
     if (head.status < kFirstFinal) {
@@ -280,7 +282,7 @@
     return impl_->state;
   }
   impl_->state = State::kBad;
-  impl_->error = "the connection ended before the answer";
+  impl_->error = "the connection was closed before the end of the answer";
   return impl_->state;
 }
 HttpAnswerReader::State HttpAnswerReader::state() const {
--- a/src/protocol/http1.h
+++ b/src/protocol/http1.h
@@ -1,11 +1,11 @@
-// HTTP/1.1 messages read from buffers, without I/O.
+// Parses and writes HTTP/1.1 messages, without I/O.
 //
-// Failure: two programs read one byte stream differently, so that part of one
-// caller's body counts as the next caller's request. Symptom: an upstream runs
-// a request that nobody sent. Heads that could be read in two ways are refused,
-// and the request line is kept byte for byte, because a decoded or normalized
-// path is another path. Boost.Beast parses; what it takes and this project does
-// not is checked here.
+// If two programs parse one byte stream differently, part of one client's body
+// becomes the next client's request (request smuggling), and an upstream runs a
+// request that nobody sent. Heads that can be parsed in two ways are therefore
+// refused, and the request target is kept byte for byte, because a decoded or
+// normalized path is another path. Boost.Beast does the parsing; the checks
+// here refuse what Beast accepts although it is ambiguous.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_HTTP1_H_
 #define ACACIACHUTE_SRC_PROTOCOL_HTTP1_H_
 
@@ -22,7 +22,7 @@
 
 struct HttpRequestHead {
   std::string method;
-  std::string target;  // As it was sent.
+  std::string target;  // As sent, byte for byte.
   HttpFields fields;
   bool keep_alive = true;
   bool chunked_answer = true;  // False for HTTP/1.0, which has no chunks.
@@ -41,7 +41,7 @@
   std::size_t body_bytes = 4 << 20;
 };
 
-// Reads one request after the other.
+// Parses the consecutive requests of one connection.
 class HttpRequestReader {
  public:
   enum class State { kHead, kBody, kDone, kBad };
@@ -51,18 +51,18 @@
   HttpRequestReader(const HttpRequestReader&) = delete;
   HttpRequestReader& operator=(const HttpRequestReader&) = delete;
 
-  // Takes bytes off the front of `buf` until the request is whole or more are
-  // needed; what follows a whole request stays.
+  // Consumes bytes from the front of `buf` until the request is complete or
+  // more bytes are needed. Bytes after a complete request stay in `buf`.
   State Read(std::string* buf);
   State state() const;
-  // 400, 413 or 431 when bad.
+  // HTTP status of the refusal in state `kBad`: 400, 413 or 431.
   int error_status() const;
   const char* error() const;
-  // Valid from `kBody` on.
+  // Valid in states `kBody` and `kDone`.
   const HttpRequestHead& head() const;
   HttpRequestHead TakeHead();
   std::string TakeBody();
-  // For the next request on the connection.
+  // Prepares for the next request on the connection.
   void Reset(const HttpReadLimits& limits);
 
  private:
@@ -70,19 +70,21 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// Reads one answer, its body part by part.
+// Parses one answer, whose body can be taken in parts.
 class HttpAnswerReader {
  public:
   enum class State { kHead, kBody, kDone, kBad };
 
-  // An answer to HEAD has no body whatever its fields say.
+  // `to_head_request`: the answer is to a HEAD request and has no body,
+  // whatever its fields say.
   explicit HttpAnswerReader(bool to_head_request);
   ~HttpAnswerReader();
   HttpAnswerReader(const HttpAnswerReader&) = delete;
   HttpAnswerReader& operator=(const HttpAnswerReader&) = delete;
 
   State Read(std::string* buf);
-  // The connection ended in order, which completes a body without a length.
+  // Called when the server closed the connection in order, which ends a body
+  // without a stated length.
   State ReadEnd();
   State state() const;
   const char* error() const;
@@ -94,7 +96,7 @@
   std::unique_ptr<Impl> impl_;
 };
 
-// A request or answer head, with its empty line.
+// Write a complete head, including the empty line at its end.
 std::string WriteRequestHead(std::string_view method,
                              std::string_view target,
                              const HttpFields& fields);
@@ -103,7 +105,7 @@
                             const HttpFields& fields);
 std::string WriteChunk(std::string_view bytes);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
-// The usual phrase for a status.
+// Returns the standard reason phrase for a status.
 std::string_view ReasonOf(int status);
 
 }  // namespace acaciachute
--- a/src/protocol/lease_codec.h
+++ b/src/protocol/lease_codec.h
@@ -1,5 +1,6 @@
-// The lease's row in the platform's table: `lease/{pool}` with a JSON object
-// whose member "fence" is the fencing number of its present holder.
+// Reads the row of a pool's lease in the platform's table. Its key is
+// `lease/{pool}`, its value a JSON object whose member "fence" is the fencing
+// number of the current holder.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_LEASE_CODEC_H_
 #define ACACIACHUTE_SRC_PROTOCOL_LEASE_CODEC_H_
 
@@ -10,8 +11,8 @@
 
 namespace acaciachute {
 
-// Zero for a lease that nobody ever held; none for a row that cannot be read,
-// which gives nobody the right to order.
+// Returns zero for a lease that was never held, and nothing for a malformed
+// row, which entitles nobody to send orders.
 std::optional<FenceNumber> FenceOfLeaseRow(const StoreRow& row);
 
 }  // namespace acaciachute
--- a/src/protocol/node_settings.cc
+++ b/src/protocol/node_settings.cc
@@ -13,19 +13,19 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t kShownValueSize = 80;
+constexpr std::size_t kMaxShownValueBytes = 80;
 
-std::string Found(const Json& document, const std::string& pointer) {
+std::string FoundValue(const Json& document, const std::string& pointer) {
   const Json::json_pointer path(pointer);
   if (!document.contains(path)) {
     return "nothing";
   }
   return document.at(path)
       .dump(-1, ' ', true, Json::error_handler_t::replace)
-      .substr(0, kShownValueSize);
+      .substr(0, kMaxShownValueBytes);
 }
 
-// valijson gives the path as "<root>[a][b]"; a JSON pointer is what operators
+// Converts valijson's path "<root>[a][b]" to a JSON pointer, which operators
 // can search for.
 std::string PointerOf(const valijson::ValidationResults::Error& error) {
   std::string pointer;
@@ -39,8 +39,9 @@
   return pointer;
 }
 
-// What the schema allows at `pointer`, so that the reader need not open it.
-std::string Allowed(const Json& schema, const std::string& pointer) {
+// Returns the part of the schema for `pointer`, so that the operator who reads
+// the error need not open the schema.
+std::string AllowedValue(const Json& schema, const std::string& pointer) {
   const Json* at = &schema;
   const std::vector<std::string> parts = Split(pointer, '/');
   for (std::size_t n = 1; n < parts.size(); ++n) {
@@ -78,14 +79,14 @@
   while (results.popError(error)) {
     const std::string pointer = PointerOf(error);
     errors.push_back(StrCat(pointer.empty() ? "/" : pointer, ": found ",
-                            Found(document, pointer),
-                            ", allowed: ", Allowed(schema_json, pointer), " (",
-                            error.description, ")"));
+                            FoundValue(document, pointer),
+                            ", allowed: ", AllowedValue(schema_json, pointer),
+                            " (", error.description, ")"));
   }
   return errors;
 }
 
-Address ReadAddress(const Json& in, const char* key) {
+Address GetAddress(const Json& in, const char* key) {
   if (!in.contains(key)) {
     return {"", 0};
   }
@@ -93,7 +94,7 @@
           in.at(key).at("port").get<std::uint16_t>()};
 }
 
-std::string ReadUrl(const Json& in, const char* key) {
+std::string GetUrl(const Json& in, const char* key) {
   return in.contains(key) ? in.at(key).at("url").get<std::string>() : "";
 }
 
@@ -103,7 +104,7 @@
   NodeSettingsResult result;
   const Json in = Json::parse(json, nullptr, false);
   if (in.is_discarded()) {
-    result.errors.emplace_back("/: no valid JSON");
+    result.errors.emplace_back("/: not valid JSON");
     return result;
   }
   result.errors = Validate(in);
@@ -116,8 +117,8 @@
   out.node = in.at("node");
   out.failure_domain = in.value("failure_domain", "");
   out.frame_key = in.at("frame_key");
-  out.listen = ReadAddress(in, "listen");
-  out.http = ReadAddress(in, "http");
+  out.listen = GetAddress(in, "listen");
+  out.http = GetAddress(in, "http");
   if (in.contains("peers")) {
     for (const auto& it : in.at("peers")) {
       out.peers.push_back({it.at("node").get<std::string>(),
@@ -125,8 +126,8 @@
                             it.at("port").get<std::uint16_t>()}});
     }
   }
-  out.platform_url = ReadUrl(in, "platform");
-  out.upstream_url = ReadUrl(in, "upstream");
+  out.platform_url = GetUrl(in, "platform");
+  out.upstream_url = GetUrl(in, "upstream");
   out.max_requests = in.value("max_requests", out.max_requests);
   out.max_connections = in.value("max_connections", out.max_connections);
   out.claim_transactions_per_second = in.value(
--- a/src/protocol/node_settings.h
+++ b/src/protocol/node_settings.h
@@ -1,4 +1,5 @@
-// A daemon's own settings file: who it is and where it finds the rest.
+// The settings file of one daemon: its identity and the addresses that it
+// listens on and connects to.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_NODE_SETTINGS_H_
 #define ACACIACHUTE_SRC_PROTOCOL_NODE_SETTINGS_H_
 
@@ -14,7 +15,7 @@
 extern const char kNodeSettingsSchema[];
 }  // namespace detail
 
-// Another entry; the settings tree may name more.
+// Another entry of the deployment. The settings tree may name further ones.
 struct PeerAddress {
   NodeId node;
   Address address;
@@ -25,25 +26,29 @@
   NodeId node;
   std::string failure_domain;
   std::string frame_key;
-  Address listen;  // Frames, over TCP and UDP.
-  Address http;    // Callers and operators.
+  Address listen;  // For frames, over TCP and UDP.
+  Address http;    // For requests of callers and operators.
   std::vector<PeerAddress> peers;
   std::string platform_url;
   std::string upstream_url;
-  std::string upstream_pool;  // Empty: it takes no orders.
+  std::string upstream_pool;  // Empty if the upstream takes no orders.
   std::uint32_t upstream_limit = 4;
   std::uint32_t max_queued = 256;
   std::uint32_t max_requests = 4096;
-  std::uint32_t max_connections = 4096;  // Of callers.
-  // Of an entry at the table, for claims; its share of what the table takes.
+  // Maximum number of callers' connections.
+  std::uint32_t max_connections = 4096;
+  // Maximum rate of an entry's claim transactions at the platform's table: its
+  // share of the table's capacity.
   double claim_transactions_per_second = 100;
-  // From SIGTERM on, new requests are still taken for this long.
+  // How long new requests are still accepted after SIGTERM, until the load
+  // balancer stops sending them.
   DurationUs balancer_grace = 3 * kSecond;
 };
 
 struct NodeSettingsResult {
   NodeSettings settings;
-  std::vector<std::string> errors;  // All that is wrong, each with its path.
+  // One text for each error, which begins with the JSON pointer to its place.
+  std::vector<std::string> errors;
 };
 
 NodeSettingsResult ParseNodeSettings(std::string_view json);
--- a/src/protocol/platform_codec.h
+++ b/src/protocol/platform_codec.h
@@ -1,4 +1,5 @@
-// The platform table's HTTP bodies (docs/PLATFORM.md gives the protocol).
+// Encodes and decodes the HTTP bodies of the platform's table (docs/PLATFORM.md
+// specifies the protocol).
 #ifndef ACACIACHUTE_SRC_PROTOCOL_PLATFORM_CODEC_H_
 #define ACACIACHUTE_SRC_PROTOCOL_PLATFORM_CODEC_H_
 
@@ -15,11 +16,12 @@
 
 std::string EncodeTransaction(const std::vector<StoreOp>& ops);
 
-// `http_status` zero stands for a connection that could not be made. Whatever
-// cannot be read is `kUnknown`: only a clear answer proves that nothing landed.
+// `http_status` is zero if the connection could not be established. An answer
+// that cannot be parsed has the status `kUnknown`, because only a clear answer
+// proves that nothing was written.
 StoreAnswer DecodeStoreAnswer(int http_status, std::string_view body);
 
-// The body of GET /v1/hosts; lines that cannot be read are passed over.
+// Parses the body of GET /v1/hosts. Malformed entries are skipped.
 std::vector<HostHint> DecodeHostList(std::string_view body);
 
 }  // namespace acaciachute
--- a/src/protocol/quarantine_http.cc
+++ b/src/protocol/quarantine_http.cc
@@ -32,8 +32,9 @@
   return Reply(200, {{"quarantine", std::move(records)}});
 }
 
-// Zero, which is no fingerprint, when the body names none.
-std::uint64_t FingerprintIn(std::string_view body) {
+// Returns the fingerprint named in the body, or zero, which is never a valid
+// fingerprint.
+std::uint64_t ParseFingerprint(std::string_view body) {
   const Json in = Json::parse(body, nullptr, false);
   if (!in.is_object() || !in.contains("fingerprint") ||
       !in["fingerprint"].is_string()) {
@@ -47,13 +48,16 @@
 }
 
 HttpReply Lift(std::string_view body, TimeUs now, Quarantine* quarantine) {
-  const std::uint64_t fingerprint = FingerprintIn(body);
+  const std::uint64_t fingerprint = ParseFingerprint(body);
   if (fingerprint == 0) {
-    return Reply(kHttpBadRequest,
-                 {{"error", "fingerprint: found none, allowed: hex digits"}});
+    return Reply(
+        kHttpBadRequest,
+        {{"error",
+          "fingerprint: found no valid one, allowed: a string of hex digits"}});
   }
   if (!quarantine->Lift(now, fingerprint)) {
-    return Reply(kHttpNotFound, {{"error", "not in quarantine"}});
+    return Reply(kHttpNotFound,
+                 {{"error", "the fingerprint is not in quarantine"}});
   }
   return Reply(200, {{"lifted", FingerprintText(fingerprint)}});
 }
--- a/src/protocol/quarantine_http.h
+++ b/src/protocol/quarantine_http.h
@@ -1,6 +1,7 @@
-// The operators' view of the quarantine, without a socket:
-// `GET /quarantine` lists suspects and convicts, `POST /quarantine/lift` with
-// {"fingerprint"} clears one. What is lifted at one node spreads to all.
+// The operators' HTTP interface to the quarantine, without I/O: `GET
+// /quarantine` lists suspected and convicted fingerprints, `POST
+// /quarantine/lift` with {"fingerprint"} clears one. A clearance at one node
+// spreads to all nodes.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_QUARANTINE_HTTP_H_
 #define ACACIACHUTE_SRC_PROTOCOL_QUARANTINE_HTTP_H_
 
@@ -12,7 +13,7 @@
 
 namespace acaciachute {
 
-// None when `head` asks for something else.
+// Returns nothing if the request is for another path or method.
 std::optional<HttpReply> ServeQuarantine(const HttpHead& head,
                                          std::string_view body,
                                          TimeUs now,
--- a/src/protocol/replay_guard.cc
+++ b/src/protocol/replay_guard.cc
@@ -5,27 +5,27 @@
 namespace acaciachute {
 
 bool ReplayGuard::Accept(const Envelope& envelope) {
-  Seen& seen = seen_[envelope.sender];
-  if (seen.incarnation == envelope.incarnation) {
-    if (envelope.sequence <= seen.sequence) {
+  SenderState& state = senders_[envelope.sender];
+  if (state.incarnation == envelope.incarnation) {
+    if (envelope.sequence <= state.sequence) {
       return false;
     }
-    seen.sequence = envelope.sequence;
+    state.sequence = envelope.sequence;
     return true;
   }
-  const auto& retired = seen.retired;
+  const auto& retired = state.retired;
   if (std::find(retired.begin(), retired.end(), envelope.incarnation) !=
       retired.end()) {
     return false;
   }
-  if (seen.incarnation != 0) {
-    seen.retired.push_back(seen.incarnation);
-    if (seen.retired.size() > kRetiredKept) {
-      seen.retired.pop_front();
+  if (state.incarnation != 0) {
+    state.retired.push_back(state.incarnation);
+    if (state.retired.size() > kMaxRetiredIncarnations) {
+      state.retired.pop_front();
     }
   }
-  seen.incarnation = envelope.incarnation;
-  seen.sequence = envelope.sequence;
+  state.incarnation = envelope.incarnation;
+  state.sequence = envelope.sequence;
   return true;
 }
 
--- a/src/protocol/replay_guard.h
+++ b/src/protocol/replay_guard.h
@@ -1,9 +1,10 @@
-// Refuses frames that were seen before or belong to a process that is gone.
+// Rejects replayed frames and frames of a process that has been replaced.
 //
-// Failure: a frame is recorded and sent again, or a datagram of a dead process
-// arrives after its successor's. Symptom: an order is carried out twice, or a
-// node's incarnation flips back. Sequence numbers grow within an incarnation
-// and a retired incarnation never returns, so both are told apart.
+// A frame may be recorded and sent again, or a datagram of a process may arrive
+// after one of its successor; then an order would be carried out twice, or the
+// node's incarnation would flip back. Sequence numbers increase within an
+// incarnation and a retired incarnation never returns, so both cases are
+// detected.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_REPLAY_GUARD_H_
 #define ACACIACHUTE_SRC_PROTOCOL_REPLAY_GUARD_H_
 
@@ -17,19 +18,19 @@
 
 class ReplayGuard {
  public:
-  // Restarts of one node that are remembered. A node restarts a few times a
-  // day at most, and a datagram lives for seconds.
-  static constexpr std::size_t kRetiredKept = 8;
+  // Number of earlier incarnations remembered per node. A node restarts a few
+  // times a day at most, and a datagram lives for seconds.
+  static constexpr std::size_t kMaxRetiredIncarnations = 8;
 
   bool Accept(const Envelope& envelope);
 
  private:
-  struct Seen {
+  struct SenderState {
     Incarnation incarnation = 0;
     std::uint64_t sequence = 0;
     std::deque<Incarnation> retired;
   };
-  std::map<NodeId, Seen> seen_;
+  std::map<NodeId, SenderState> senders_;
 };
 
 }  // namespace acaciachute
