--- a/tests/caller_http_test.cc
+++ b/tests/caller_http_test.cc
@@ -1,5 +1,6 @@
-// Callers' HTTP interface without a socket: each kind of bad input gets a clear
-// refusal that is true ("not run"), and whole streams are told from cut ones.
+// Tests the callers' HTTP interface without sockets: each kind of invalid input
+// gets a specific refusal with the verdict "not run", and complete streams can
+// be distinguished from truncated ones.
 #include "protocol/caller_http.h"
 
 #include <gtest/gtest.h>
@@ -98,7 +99,7 @@
   }
   EXPECT_EQ(RefusalOf(WithBody(std::string(kMaxBodySize + 1, ' '))),
             Refusal::kTooLarge);
-  // Deep nesting must not exhaust the stack.
+  // Deep nesting must not overflow the stack.
   EXPECT_EQ(RefusalOf(WithBody(std::string(kMaxBodySize, '['))),
             Refusal::kMalformed);
 }
@@ -128,9 +129,9 @@
             Refusal::kLate);
 }
 
-// The loop was busy for 300 ms while a request with a deadline of 200 ms waited
-// in its socket. It is refused before its body is read; without that, a busy
-// entry would spend its time on requests that are late already.
+// A request with a deadline of 200 ms waited 300 ms for the busy event loop. It
+// is refused before its body is parsed; otherwise an overloaded entry would
+// spend its time on requests that are already late.
 TEST(CallerHttpTest, WaitInTheLoopCountsBeforeTheBodyIsRead) {
   Sent sent = WithHeader("Acaciachute-Deadline-Ms", "200");
   sent.body = "{";
@@ -155,7 +156,8 @@
 
 TEST(CallerHttpTest, ServiceIsAPipelineOfOneStage) {
   Sent sent = WithPath("POST", "/v1/services/billing/v2/charge");
-  EXPECT_EQ(RefusalOf(sent), Refusal::kMalformed);  // May not be repeated.
+  // A request that is not idempotent needs a key.
+  EXPECT_EQ(RefusalOf(sent), Refusal::kMalformed);
   sent.headers = {{"Idempotency-Key", "k"}};
   const auto call = Parse(sent);
   const auto& request = std::get<CallerRequest>(call);
@@ -202,17 +204,18 @@
     EXPECT_EQ(problem["verdict"], "not_run");
     EXPECT_EQ(problem["request_id"], "7-8");
     EXPECT_TRUE(problem.contains("detail"));
-    const bool told = std::any_of(
+    const bool has_retry_after = std::any_of(
         reply.headers.begin(), reply.headers.end(), [](const auto& it) {
           return it.first == "Retry-After" && it.second == "2";
         });
-    EXPECT_EQ(told, kRefusals[n].later_may_help) << kRefusals[n].name;
+    EXPECT_EQ(has_retry_after, kRefusals[n].later_may_help)
+        << kRefusals[n].name;
   }
 }
 
-// A streamed answer is cut after any number of bytes. Only the uncut one shows
-// the end marker, so no cut stream looks whole; parts with line breaks,
-// carriage returns or bytes that are no UTF-8 come out as they went in.
+// A streamed answer is truncated after each number of bytes. Only the complete
+// stream contains the end event. Parts with line breaks, carriage returns or
+// bytes that are not UTF-8 are decoded to what was encoded.
 TEST(CallerHttpTest, OnlyAWholeStreamShowsItsEnd) {
   CallerAnswer answer;
   answer.verdict = Verdict::kAnswered;
--- a/tests/decoder_mutation_test.cc
+++ b/tests/decoder_mutation_test.cc
@@ -1,6 +1,6 @@
-// Feeds every decoder a bounded, seeded set of mutated inputs. Each must be
-// taken or refused with an error; none may throw, crash or run away. Built with
-// SANITIZE=ON the same set finds reads out of bounds.
+// Feeds every decoder a fixed number of inputs mutated with a fixed seed. Each
+// must be accepted or rejected with an error; none may throw, crash or loop.
+// Built with SANITIZE=ON, the test also finds reads out of bounds.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kSeed = 20261202;
 constexpr char kKey[] = "0123456789abcdef0123456789abcdef";
 
-// A few bytes changed, cut out, doubled or put in.
+// Changes, removes, duplicates or inserts a few bytes.
 std::string Mutate(std::string text, Random* random) {
   const auto changes = 1 + random->Below(4);
   for (std::uint64_t n = 0; n < changes && !text.empty(); ++n) {
@@ -69,7 +69,7 @@
     const std::string good = EncodeFrame({"entry-1", 1, 1, message}, kKey);
     ForEachMutation(good, [&](const std::string& frame) {
       EXPECT_TRUE(frame == good || !DecodeFrame(frame, kKey).ok());
-      // What a faulty peer sends bears the right hash.
+      // A faulty peer sends malformed messages with a valid HMAC.
       DecodeFrame(SealedFrame(frame, kKey), kKey).IgnoreError();
     });
   }
--- a/tests/frame_test.cc
+++ b/tests/frame_test.cc
@@ -1,4 +1,4 @@
-// Frames between processes: what is taken and what is refused.
+// Tests which frames between processes are accepted and which are rejected.
 #include "protocol/frame.h"
 
 #include <gtest/gtest.h>
@@ -30,8 +30,8 @@
             std::get<StageCall>(MakeEnvelope().message).key);
 }
 
-// Rows, their versions and their age travel together; "nothing says how old" is
-// not the same as an age of zero.
+// Rows, versions and age are encoded together. An unknown age is distinguished
+// from an age of zero.
 TEST(FrameTest, CarriesATableWithItsAge) {
   TableReply reply;
   reply.table = "t";
@@ -77,8 +77,8 @@
   return {"entry-1", 11, 3, reply};
 }
 
-// Guards against: a wrong count takes memory, and minutes, before the bytes
-// turn out to be missing.
+// Guards against a wrong element count, which allocated memory and took minutes
+// before the missing bytes were found.
 TEST(FrameTest, NoCountTakesMoreThanTheMessageHolds) {
   const std::string good = EncodeFrame(WithRows(), kKey);
   ASSERT_EQ(SealedFrame(good, kKey), good);
@@ -96,22 +96,23 @@
             std::chrono::seconds(5));
 }
 
-// A count that is just below the bytes left, of elements larger than those.
+// A count is just below the number of remaining bytes, but its elements are
+// larger than a byte.
 TEST(FrameTest, ElementsTakeNoMemoryBeforeTheyAreRead) {
-  constexpr std::uint64_t kLeft = 1'000'000;
+  constexpr std::uint64_t kRemaining = 1'000'000;
   std::string bytes(1, '\1');
-  for (unsigned n = 0; n < sizeof kLeft; ++n) {
-    bytes.push_back(static_cast<char>(kLeft >> (8 * n)));
+  for (unsigned n = 0; n < sizeof kRemaining; ++n) {
+    bytes.push_back(static_cast<char>(kRemaining >> (8 * n)));
   }
-  // The first one would be longer than what follows.
-  bytes += std::string(kLeft, '\xff');
+  // The first string states a length above the number of remaining bytes.
+  bytes += std::string(kRemaining, '\xff');
   std::vector<std::string> rows;
   FrameReader reader(bytes);
   EXPECT_THROW(reader(rows), cereal::Exception);
   EXPECT_LE(rows.capacity(), 1U);
 }
 
-// A process whose numbers have the other order of bytes.
+// Reads numbers from a process with the other byte order.
 TEST(FrameTest, ReadsNumbersOfEitherOrder) {
   FrameReader reader(std::string_view("\0\0\0\1\2", 5));
   std::uint32_t number = 0;
@@ -123,8 +124,8 @@
   EXPECT_FALSE(DecodeFrame(EncodeFrame(MakeEnvelope(), kKey), "other").ok());
 }
 
-// A datagram is recorded and sent again; another comes from the process that
-// the sender replaced. Both carry a right hash, neither may be taken.
+// Guards against a datagram that was recorded and sent again, and one of the
+// sender's previous process. Both have a valid HMAC and must be rejected.
 TEST(ReplayGuardTest, RefusesRepeatsAndRetiredIncarnations) {
   ReplayGuard guard;
   Envelope first{"n", 1, 1, Heartbeat{}};
--- a/tests/gateway/http1_test.cc
+++ b/tests/gateway/http1_test.cc
@@ -1,4 +1,5 @@
-// Heads and bodies that two readers could take differently.
+// Tests the HTTP/1.1 parsers, above all with heads and bodies that two
+// implementations could parse differently.
 #include "protocol/http1.h"
 
 #include <gtest/gtest.h>
@@ -12,11 +13,12 @@
 struct RawRequest {
   const char* what;
   const char* bytes;
-  int status;  // Zero: taken.
+  int status;  // Zero if accepted.
 };
 
-// A caller that could slip a request into another one's connection gets 400
-// instead: what two readers could take differently is refused.
+// Guards against request smuggling: a client hides a request in the body of
+// another one, and an upstream runs it as another client's. Ambiguous heads get
+// 400.
 TEST(HttpRequestReaderTest, RefusesWhatIsAmbiguous) {
   const RawRequest table[] = {
       {"two lengths",
@@ -124,9 +126,9 @@
   EXPECT_EQ(reader.ReadEnd(), AnswerState::kDone);
 }
 
-// A client must not take half an answer for a whole one: the connection ended
-// before the stated length.
-TEST(HttpAnswerReaderTest, TakesNoShortBody) {
+// Guards against delivering a truncated answer as a complete one, when the
+// connection ends before the stated length.
+TEST(HttpAnswerReaderTest, RejectsATruncatedBody) {
   for (const char* bytes :
        {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"}) {
@@ -137,8 +139,8 @@
   }
 }
 
-// A length that no memory holds, from a replica that sends garbage, is no
-// reason to reserve it.
+// Guards against allocating memory for a Content-Length that a faulty replica
+// states.
 TEST(HttpAnswerReaderTest, ReservesNothingForAStatedLength) {
   HttpAnswerReader reader(false);
   std::string buf =
@@ -147,7 +149,7 @@
   EXPECT_EQ(reader.TakeBody(), "abc");
 }
 
-TEST(HttpAnswerReaderTest, PassesOverInterimAnswers) {
+TEST(HttpAnswerReaderTest, SkipsInterimAnswers) {
   HttpAnswerReader reader(false);
   std::string buf =
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\nextra";
--- a/tests/gateway/transport_test.cc
+++ b/tests/gateway/transport_test.cc
@@ -1,4 +1,5 @@
-// Connections to clients and replicas over loopback sockets.
+// Tests the HTTP listener and client, the sockets, the event loop and the log
+// writer, over loopback sockets.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -36,7 +37,7 @@
   loop->Cancel(timer);
 }
 
-// A TCP server of the test's own, which speaks raw bytes.
+// A TCP server that exchanges raw bytes.
 class RawServer {
  public:
   class Peer : public SocketHandler {
@@ -139,17 +140,18 @@
   EXPECT_EQ(channels.opened(), 1U);
 }
 
-// What the caller sees: 502 for requests that must run once, while replicas are
-// idle. Each such request needs a connection used a moment ago and opens one;
-// those before stay open, of a hundred gateways together more than the replica
-// takes, which resets the next. The new one takes the place of an old one.
+// Guards against 502 answers to requests that must run once. Each such request
+// needs a recently used connection and often opens one. If the older ones
+// stayed open, a hundred gateways would together exceed the replica's
+// connection limit, and it would reset the next. A new connection therefore
+// replaces an old one.
 TEST(HttpChannelsTest, OpensAConnectionInPlaceOfAStaleOne) {
   Loop loop;
   RawServer server(&loop);
   server.on_bytes = [](RawServer::Peer* peer) { peer->stream->Write(kMine); };
   HttpChannels channels(&loop);
   ChannelOptions fresh;
-  fresh.most_idle = -1;  // None is fresh enough.
+  fresh.most_idle = -1;  // No idle connection is fresh enough.
   for (int n = 0; n < 5; ++n) {
     Sink sink;
     channels.Start(server.address, Get(), fresh, &sink);
@@ -160,7 +162,7 @@
   EXPECT_EQ(channels.open(), 1U);
 }
 
-TEST(HttpChannelsTest, KeepsNoMoreConnectionsThanAsked) {
+TEST(HttpChannelsTest, KeepsNoMoreConnectionsThanAllowed) {
   Loop loop;
   RawServer server(&loop);
   server.on_bytes = [](RawServer::Peer* peer) { peer->stream->Write(kMine); };
@@ -174,8 +176,8 @@
   EXPECT_EQ(channels.open(), 0U);
 }
 
-// No caller gets another's answer: a replica sends a late second answer to an
-// earlier request first, and the caller's own after it.
+// Guards against delivering another request's answer: a replica first repeats
+// its answer to an earlier request and then answers this one.
 TEST(HttpChannelsTest, PassesOverAnAnswerToAnotherRequest) {
   Loop loop;
   RawServer server(&loop);
@@ -189,8 +191,8 @@
   EXPECT_EQ(sink.body, "ok");
 }
 
-// Bytes after a whole answer belong to no request: the connection is not used
-// again.
+// Bytes after a complete answer belong to no request, so the connection is not
+// reused.
 TEST(HttpChannelsTest, DropsAConnectionWithBytesThatNobodyAskedFor) {
   Loop loop;
   RawServer server(&loop);
@@ -207,8 +209,8 @@
   EXPECT_EQ(channels.opened(), 2U);
 }
 
-// A caller must know whether its request may have run: bytes were sent before
-// the replica closed, or no connection was made.
+// The caller learns whether its request may have run: once with bytes sent
+// before the replica closed, once without a connection.
 TEST(HttpChannelsTest, TellsWhetherAnythingWasSent) {
   Loop loop;
   RawServer server(&loop);
@@ -231,9 +233,9 @@
   EXPECT_FALSE(refused.failure->sent);
 }
 
-// A silent replica does not hold a caller for ever.
-// Guards against: a host that is short of its processor sends a request to a
-// replica that it chose long ago, because the connection was made meanwhile.
+// Guards against sending a request to a replica that was chosen long ago: a
+// host short of CPU time notices late that the connection was established after
+// the time limit.
 TEST(HttpChannelsTest, SendsNothingOnAConnectionThatCameTooLate) {
   Loop loop;
   RawServer server(&loop);
@@ -252,7 +254,7 @@
   }
 }
 
-TEST(HttpChannelsTest, TellsWhenARequestLeftOnANewConnection) {
+TEST(HttpChannelsTest, ReportsWhenARequestLeftOnANewConnection) {
   struct Connecting : Sink {
     void OnConnected(CallId) override { ++connected; }
     int connected = 0;
@@ -282,8 +284,8 @@
   EXPECT_EQ(sink.failure->kind, CallFailureKind::kTimeout);
 }
 
-// A replica that answers before it has read the whole request reads on later;
-// what it reads must be the rest of that request.
+// A replica that answers before it has read the whole request continues to
+// read; it must read the remainder of that request, not the next one.
 TEST(HttpChannelsTest, SendsTheRestOfABodyAfterAnEarlyAnswer) {
   Loop loop;
   RawServer server(&loop);
@@ -314,9 +316,10 @@
   EXPECT_EQ(received.substr(received.find("\r\n\r\n") + 4), request.body);
 }
 
-// What the caller sees: nothing at all, for ever. A socket is closed by the
-// handler of another one's event, while its own event is already known and its
-// number goes to a new socket. The event must not be told to the new one.
+// Guards against a request that never ends: the handler of one socket's event
+// closes another socket whose event is already pending, and a new socket gets
+// the same descriptor number. The pending event must not be delivered to the
+// new socket.
 TEST(SocketPollerTest, TellsNoEventOfAClosedSocketToTheNextOne) {
   struct Watcher : SocketWatcher {
     void OnReadable() override { on_readable(); }
@@ -327,36 +330,37 @@
   std::array<std::array<int, 2>, 2> pairs{};
   std::array<Watcher, 2> watchers;
   Watcher next;
-  int told = 0;
-  int told_next = 0;
+  int delivered = 0;
+  int delivered_to_next = 0;
   std::array<int, 2> fresh{-1, -1};
   for (int n = 0; n < 2; ++n) {
     ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, pairs[n].data()), 0);
     ASSERT_EQ(write(pairs[n][1], "x", 1), 1);
     loop.sockets()->Watch(pairs[n][0], &watchers[n], true, false);
     watchers[n].on_readable = [&, n] {
-      ++told;
+      ++delivered;
       loop.sockets()->Watch(pairs[n][0], &watchers[n], false, false);
       const int other = 1 - n;
       loop.sockets()->Watch(pairs[other][0], &watchers[other], false, false);
       close(pairs[other][0]);
       ASSERT_EQ(socketpair(AF_UNIX, SOCK_STREAM, 0, fresh.data()), 0);
-      ASSERT_EQ(fresh[0], pairs[other][0]) << "the number is used again";
+      ASSERT_EQ(fresh[0], pairs[other][0])
+          << "the descriptor number was not reused";
       loop.sockets()->Watch(fresh[0], &next, true, false);
     };
   }
-  next.on_readable = [&] { ++told_next; };
+  next.on_readable = [&] { ++delivered_to_next; };
   const auto timer = loop.After(50 * kMs, [&] { loop.Quit(); });
   loop.Run();
   EXPECT_NE(timer, 0U);
-  EXPECT_EQ(told, 1);
-  EXPECT_EQ(told_next, 0);
+  EXPECT_EQ(delivered, 1);
+  EXPECT_EQ(delivered_to_next, 0);
   loop.sockets()->Watch(fresh[0], &next, false, false);
 }
 
-// Load: hundreds of connections of which one is busy. The others cost nothing:
-// one descriptor stands in the main loop for all of them.
-TEST(SocketPollerTest, StandsInTheMainLoopOnceForAllSockets) {
+// The main loop polls one descriptor for all sockets, so that hundreds of idle
+// connections cost nothing per event.
+TEST(SocketPollerTest, UsesOneMainLoopSourceForAllSockets) {
   Loop loop;
   struct Watcher : SocketWatcher {
     void OnReadable() override {}
@@ -388,7 +392,7 @@
   }
 }
 
-// Work that was put off to the loop is dropped when its owner goes first.
+// A deferred task is dropped if its owner was destroyed before.
 TEST(LoopTest, DropsTasksWhoseOwnerIsGone) {
   Loop loop;
   int runs = 0;
@@ -401,7 +405,7 @@
   EXPECT_EQ(runs, 1);
 }
 
-// A listener with a client that speaks raw bytes.
+// A listener and a client that exchanges raw bytes with it.
 struct ListenerRig : ListenerHandler, SocketHandler {
   explicit ListenerRig(const ListenerLimits& limits = {}) {
     RawServer probe(&loop);  // Finds a free port.
@@ -455,7 +459,8 @@
   EXPECT_EQ(rig.requests, (std::vector<std::string>{"/a ", "/b abc"}));
 }
 
-// The client hears why, and nothing that follows on its connection is read.
+// The client receives a 400, and nothing that follows on its connection is
+// parsed.
 TEST(HttpListenerTest, RefusesAnAmbiguousHeadAndCloses) {
   ListenerRig rig;
   rig.Connect();
@@ -468,7 +473,8 @@
   EXPECT_TRUE(rig.requests.empty());
 }
 
-// A client's hang-up is heard while its request is in progress.
+// The listener reports that a client disconnected while its request is in
+// progress.
 TEST(HttpListenerTest, NoticesAHangUpDuringARequest) {
   ListenerRig rig;
   rig.answer_at_once = false;
@@ -480,8 +486,8 @@
   EXPECT_EQ(rig.gone, rig.last);
 }
 
-// A stream that is broken off has no last chunk, so that it cannot pass for a
-// whole one.
+// An aborted stream has no last chunk, so that the client cannot mistake it for
+// a complete one.
 TEST(HttpListenerTest, BreaksAStreamWithoutItsEnd) {
   ListenerRig rig;
   rig.answer_at_once = false;
@@ -497,8 +503,8 @@
   EXPECT_FALSE(Contains(rig.received, kLastChunk));
 }
 
-// A client that sends half a head and stalls is told so after the limit, and
-// costs nothing any longer.
+// A client that stalls in the middle of a head gets 408 after the time limit,
+// and its connection is closed.
 TEST(HttpListenerTest, EndsAStalledHead) {
   ListenerLimits limits;
   limits.head = 100 * kMs;
@@ -509,8 +515,8 @@
   EXPECT_TRUE(rig.received.starts_with("HTTP/1.1 408"));
 }
 
-// Load: a thousand clients stall in the middle of large bodies. What is held
-// for them stays under the limit; those above it are refused.
+// Guards against clients that stall in the middle of large bodies and exhaust
+// the memory: bodies above the limit on buffered bytes are refused.
 TEST(HttpListenerTest, BoundsTheBytesOfStalledUploads) {
   ListenerLimits limits;
   limits.buffered_bytes = 100'000;
@@ -533,8 +539,8 @@
   EXPECT_TRUE(Contains(rig.received, "ok"));
 }
 
-// Requests go on while nobody reads the log: nothing blocks, and what is lost
-// is counted and told once there is room again.
+// If nobody reads the log, writing does not block; dropped lines are counted
+// and reported once the buffer has space again.
 TEST(LogWriterTest, NeverBlocksAndTellsWhatItDropped) {
   Loop loop;
   std::array<int, 2> ends{};
@@ -561,9 +567,9 @@
   close(ends[0]);
 }
 
-// Load: a hundred gateways start, and each hears of a hundred. A host with a
-// tenth of a core writes a few of these lines and the count of the rest, and
-// lines of requests as before.
+// A hundred gateways start, and each logs the state of a hundred. Of these
+// lines only a few per second are written and the others counted as dropped;
+// the lines of requests are not limited by this.
 TEST(LogWriterTest, WritesFewLinesOfTheFleet) {
   Loop loop;
   std::array<int, 2> ends{};
@@ -573,17 +579,17 @@
     log.Write("peer", {{"peer", n}});
     log.Write("request", {{"id", n}});
   }
-  // A second may end in between.
-  EXPECT_GE(log.dropped(), 100U - 2 * LogWriter::kMostOfFleetPerSecond);
-  EXPECT_LE(log.dropped(), 100U - LogWriter::kMostOfFleetPerSecond);
+  // The lines may fall into two seconds, each with its own limit.
+  EXPECT_GE(log.dropped(), 100U - 2 * LogWriter::kMaxFleetLinesPerSecond);
+  EXPECT_LE(log.dropped(), 100U - LogWriter::kMaxFleetLinesPerSecond);
   log.Flush();
   close(ends[0]);
 }
 
-// Of the sockets of this process that are connected to `port`.
+// Returns a socket option of this process's connection to `port`, or -1.
 int OptionOfConnectionTo(std::uint16_t port, int level, int option) {
-  constexpr int kMostSockets = 256;
-  for (int fd = 3; fd < kMostSockets; ++fd) {
+  constexpr int kMaxSockets = 256;
+  for (int fd = 3; fd < kMaxSockets; ++fd) {
     sockaddr_in peer{};
     socklen_t size = sizeof(peer);
     if (getpeername(fd, reinterpret_cast<sockaddr*>(&peer), &size) != 0 ||
@@ -598,9 +604,8 @@
   return -1;
 }
 
-// A replica that loses power after it took a request acknowledges all and
-// answers nothing. Its connection is probed, so that the client hears of it
-// within seconds.
+// Guards against a replica that loses power after it acknowledged a request:
+// only keep-alive probes end its connection, within seconds.
 TEST(SocketStreamTest, ConnectionsToReplicasAreProbed) {
   Loop loop;
   RawServer server(&loop);
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -1,6 +1,6 @@
-// Limits towards callers, on real sockets in this process: what is too large,
-// too slow or too many is cut, and a caller that hangs up is noticed while its
-// request is in progress.
+// Tests the HTTP server over loopback sockets: requests that are too large, too
+// slow or on too many connections are cut off, and a client's disconnect is
+// detected while its request is in progress.
 #include "transport/http_server.h"
 
 #include <gio/gio.h>
@@ -19,10 +19,10 @@
 namespace acaciachute {
 namespace {
 
-constexpr DurationUs kPatience = 20 * kSecond;
+constexpr DurationUs kWaitTimeout = 20 * kSecond;
 
 bool WaitFor(const std::function<bool()>& condition) {
-  const TimeUs end = Loop::Now() + kPatience;
+  const TimeUs end = Loop::Now() + kWaitTimeout;
   while (!condition()) {
     if (Loop::Now() > end) {
       return false;
@@ -34,7 +34,7 @@
   return true;
 }
 
-// A caller that sends bytes as it likes.
+// A client that sends arbitrary bytes.
 class RawCaller {
  public:
   explicit RawCaller(std::uint16_t port) {
@@ -63,7 +63,7 @@
     }
   }
 
-  // Takes what has arrived.
+  // Reads the bytes that have arrived.
   void Read() {
     char buf[4096];
     for (;;) {
@@ -153,7 +153,8 @@
   }
   EXPECT_TRUE(WaitFor([&] { return server_->connections() == 1; }));
   EXPECT_TRUE(handler_.gone.empty());
-  // Closed between requests; libsoup alone would keep its file open for ever.
+  // The client disconnects between requests. libsoup alone would keep the file
+  // descriptor open for ever.
   caller.HangUp();
   EXPECT_TRUE(WaitFor([&] { return server_->connections() == 0; }));
 }
@@ -170,8 +171,9 @@
   EXPECT_TRUE(handler_.bodies.empty());
 }
 
-// A chunked body names no length. It is refused when it grows over the limit,
-// and cut when it does not end, so that it cannot fill the memory.
+// A chunked body states no length. It is refused once it exceeds the limit, and
+// its connection is closed if it does not end, so that it cannot exhaust the
+// memory.
 TEST_F(HttpServerTest, ChunkedBodyOverTheLimitIsRefusedOrCut) {
   Listen(SmallBody());
   const std::string head =
@@ -189,7 +191,7 @@
   EXPECT_TRUE(handler_.bodies.empty());
 }
 
-// Headers without end: libsoup must not collect them for ever.
+// Guards against endless headers, which libsoup would buffer without limit.
 TEST_F(HttpServerTest, HeadWithoutEndIsCut) {
   HttpLimits limits;
   limits.head = kSecond;
@@ -203,8 +205,8 @@
   EXPECT_TRUE(handler_.bodies.empty());
 }
 
-// Callers that stop in the head, in the body, or never start are each cut off,
-// because every one of them holds a connection that others need.
+// Clients that send nothing, or stall in the head or in the body, are cut off,
+// because each holds a connection that others need.
 TEST_F(HttpServerTest, SlowSendersAreCut) {
   HttpLimits limits;
   limits.head = 100 * kMillisecond;
@@ -222,8 +224,8 @@
   EXPECT_TRUE(handler_.bodies.empty());
 }
 
-// Two connections are allowed. The third is closed at once, and once one of the
-// two is gone another is served.
+// The limit is two connections. The third is closed at once; after one of the
+// two was closed, another is served.
 TEST_F(HttpServerTest, ConnectionsAreBounded) {
   HttpLimits limits;
   limits.max_connections = 2;
@@ -240,9 +242,9 @@
   EXPECT_TRUE(WaitFor([&] { return handler_.bodies.size() == 1; }));
 }
 
-// The caller hangs up while its request is in progress. libsoup reads nothing
-// from a paused message; without the watch on the socket its work would go on
-// to its end for nobody.
+// Guards against work that continues to its end for a client that disconnected:
+// libsoup reads nothing from a paused message, so only the watch on the socket
+// detects the disconnect.
 TEST_F(HttpServerTest, HangUpIsNoticedWhileTheRequestRuns) {
   Listen({});
   RawCaller caller(server_->port());
@@ -256,7 +258,7 @@
   EXPECT_EQ(handler_.gone.size(), 1);
 }
 
-// The caller hangs up in the middle of a streamed answer, after some parts.
+// The client disconnects in the middle of a streamed answer.
 TEST_F(HttpServerTest, HangUpIsNoticedWhileTheAnswerStreams) {
   Listen({});
   RawCaller caller(server_->port());
@@ -269,8 +271,8 @@
   EXPECT_TRUE(WaitFor([&] { return server_->connections() == 0; }));
 }
 
-// A further request that is sent before the answer is no hang-up: both are
-// answered in order.
+// A pipelined request does not count as a disconnect: both are answered in
+// order.
 TEST_F(HttpServerTest, PipelinedRequestIsNoHangUp) {
   Listen({});
   RawCaller caller(server_->port());
@@ -285,8 +287,8 @@
   EXPECT_EQ(handler_.bodies[2], "2");
 }
 
-// The node is leaving: the answer itself asks the balancer to close the
-// connection, so that its next request goes elsewhere.
+// When the node shuts down, its answers ask the load balancer to close the
+// connection, so that the next request goes to another node.
 TEST_F(HttpServerTest, LeavingServerAsksToClose) {
   Listen({});
   RawCaller caller(server_->port());
@@ -298,8 +300,8 @@
   EXPECT_TRUE(Contains(caller.received, "200"));
 }
 
-// While the loop is busy for 50 ms a request arrives; its wait is known to the
-// handler, so that it counts against the deadline.
+// A request arrives while the loop is busy for 50 ms. The handler can read its
+// wait, so that the wait counts against the deadline.
 TEST_F(HttpServerTest, WaitInTheLoopIsMeasured) {
   Listen({});
   RawCaller caller(server_->port());
--- a/tests/lease_codec_test.cc
+++ b/tests/lease_codec_test.cc
@@ -5,7 +5,7 @@
 namespace acaciachute {
 namespace {
 
-// A row that cannot be read must not count as "nobody holds it".
+// A malformed row must not be read as a lease that was never held.
 TEST(LeaseCodecTest, OnlyAClearRowGivesANumber) {
   EXPECT_EQ(FenceOfLeaseRow({"lease/models", "", 0}), FenceNumber{0});
   EXPECT_EQ(FenceOfLeaseRow({"lease/models", R"({"fence":7})", 3}),
--- a/tests/peer_mesh_test.cc
+++ b/tests/peer_mesh_test.cc
@@ -1,4 +1,4 @@
-// The mesh's sockets.
+// Tests the sockets of the peer mesh.
 #include "transport/peer_mesh.h"
 
 #include <gio/gio.h>
@@ -20,9 +20,8 @@
   void OnUnsent(const NodeId&, const Message&) override {}
 };
 
-// The system chooses a port that is free for TCP, and a process of another
-// program holds the same number for UDP. A node that takes this for final does
-// not start, now and then, for no fault of its own.
+// Guards against starts that fail at random: the kernel chooses a port that is
+// free for TCP while another program uses the same number for UDP.
 TEST(PeerMeshTest, ChosenPortIsFreeForBoth) {
   constexpr int kTakenPorts = 400;
   constexpr int kStarts = 300;
--- a/tests/platform/translation_test.cc
+++ b/tests/platform/translation_test.cc
@@ -1,4 +1,5 @@
-// The platform's words, in and out.
+// Tests the translation between the platform's formats and this project's
+// types.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -32,7 +33,7 @@
   EXPECT_DOUBLE_EQ(settings->retries.ratio, 0.2);
 }
 
-TEST(HostSettingsFileTest, ReadsHowOldNewsMayGet) {
+TEST(HostSettingsFileTest, ReadsFreshnessBounds) {
   const auto settings =
       ParseHostSettings(std::string(kSettings) +
                         "bounds.drain_ms=3000\nbounds.config_apply_ms=2500\n"
@@ -43,7 +44,8 @@
                              5500 * kMillisecond, 4 * kSecond}));
 }
 
-// Guards against: a bound that no plan can keep is taken and silently missed.
+// Guards against accepting a bound that cannot be kept and then exceeding it
+// without notice.
 TEST(HostSettingsFileTest, RefusesBoundsThatCannotBeKept) {
   for (const char* it : {"bounds.drain_ms=0", "bounds.config_apply_ms=-5",
                          "bounds.contact_ms=199", "bounds.evacuate_ms=soon",
@@ -96,8 +98,8 @@
   EXPECT_EQ(it.limits.body_bytes, 100U);
 }
 
-// A configuration that cannot be read leaves the one before in force, and the
-// log names the field.
+// An invalid configuration is rejected with an error that names its fault, so
+// that the log shows it and the previous configuration stays in force.
 TEST(RowsTest, NamesTheFieldOfABadConfiguration) {
   const auto bad = ParseConfig(R"({"version":7,"routes":[{"name":"r","host":"h",
     "prefix":"/","kind":"sometimes","timeout_ms":1}],"services":[]})");
@@ -122,7 +124,7 @@
   EXPECT_FALSE(ParseReplica("i-1", R"({"service":"s","address":"x"})", 0).ok());
 }
 
-// What a row says of the time left counts from when it was read.
+// The remaining cold time in a row counts from when the row was read.
 TEST(RowsTest, ColdTimeCountsFromTheReading) {
   const auto entry = ParseReplica(
       "i-1",
@@ -133,7 +135,7 @@
   EXPECT_EQ(entry->cold_until, kSecond + 100 * kMillisecond);
 }
 
-// A good entry with one field replaced; null takes the field away.
+// Returns a valid row with one field replaced; a null value removes the field.
 std::string EntryWith(const std::string& field, const nlohmann::json& value) {
   nlohmann::json row = {{"service", "s"},       {"address", "10.0.0.9:8080"},
                         {"zone", "a"},          {"version", "v1"},
@@ -148,8 +150,9 @@
   return row.dump();
 }
 
-// Another writer's entry is among the replicas'. What it names is no replica:
-// a request that is sent there is lost, or runs where it must not.
+// Guards against rows of other writers in the replicas' table. They describe no
+// replica of this system: requests sent there would be lost or run where they
+// must not.
 TEST(RowsTest, RefusesEntriesOfAnotherWriter) {
   struct Case {
     const char* field;
@@ -186,9 +189,9 @@
   }
 }
 
-// Any entry cut short, or with one byte changed, is read or refused, and never
-// ends the process.
-RC_GTEST_PROP(RowsTest, ReadsOrRefusesSpoiledEntries, ()) {
+// Any truncated row and any row with one changed byte is parsed or rejected,
+// and never crashes the process.
+RC_GTEST_PROP(RowsTest, ReadsOrRefusesCorruptedEntries, ()) {
   std::string row = EntryWith("x", 1);
   const auto at = *rc::gen::inRange<std::size_t>(0, row.size());
   if (*rc::gen::arbitrary<bool>()) {
@@ -238,9 +241,9 @@
   return names;
 }
 
-// A client must not give itself another account's name, hold an engine's memory
-// or read another request's: what only the system may set is not passed on, nor
-// is the key.
+// Guards against a client that sets another account's name, occupies an
+// engine's memory or reads another request's results: fields that only the
+// system may set are not forwarded, nor is the client's key.
 TEST(RequestsTest, PassesOnOnlyWhatIsTheClientsToSet) {
   const auto call = ReadClientRequest(Head(), "body");
   ASSERT_TRUE(call.ok());
@@ -280,7 +283,7 @@
   EXPECT_FALSE(ReadClientRequest(head, "").ok());
 }
 
-TEST(RequestsTest, ReadsAReplicasWord) {
+TEST(RequestsTest, ReadsFieldsThatReplicasState) {
   HttpAnswerHead head;
   head.status = 503;
   head.fields = {{"Not-Executed", "1"},
@@ -295,7 +298,7 @@
             (std::vector<std::string>{"Not-Executed", "Replica-Load"}));
 }
 
-TEST(RequestsTest, TellsWhenToComeBackInFractionsOfASecond) {
+TEST(RequestsTest, WritesRetryAfterInFractionsOfASecond) {
   const HttpReply reply = WriteLocalReply(
       {Refusal::kFull, Verdict::kNotRun, 1250 * kMillisecond, "busy"});
   EXPECT_EQ(reply.status, 503);
--- a/tests/quarantine_http_test.cc
+++ b/tests/quarantine_http_test.cc
@@ -1,4 +1,5 @@
-// The operators' view of the quarantine, with good and bad input.
+// Tests the operators' HTTP interface to the quarantine with valid and invalid
+// input.
 #include "protocol/quarantine_http.h"
 
 #include <gtest/gtest.h>
