--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -143,7 +143,7 @@
   replicas.plan = PlanReplicas(settings);
   // What was chosen last must be there when this host counts as in touch.
   directory.SetMostKept(settings.freshness.contact - replicas.plan.act);
-  pieces.SetMostConnect(replicas.plan.Connect());
+  pieces.SetConnectTimeout(replicas.plan.Connect());
 }
 
 absl::Status GatewayNode::Impl::Start() {
@@ -316,10 +316,10 @@
   constexpr DurationUs kFresh = kSecond;
   ChannelOptions options;
   if (!attempt.may_repeat) {
-    options.most_idle = kFresh;
+    options.max_idle_time = kFresh;
   }
   options.connect = std::min(kConnect, replicas.plan.Connect());
-  options.most_kept = attempt.most_idle_connections;
+  options.max_kept = attempt.most_idle_connections;
   return channels.Start(attempt.address, platform::WriteAttemptRequest(attempt),
                         options, this);
 }
--- a/src/daemon/sidecar_node.cc
+++ b/src/daemon/sidecar_node.cc
@@ -80,7 +80,7 @@
     upstream.Call(id, call, time_left);
   }
   void CancelUpstream(UpstreamCallId id) override { upstream.Cancel(id); }
-  void CheckUpstream() override { AskReport(); }
+  void CheckUpstream() override { FetchReport(); }
   void TellEntries() override {
     for (const NodeId& it : entries) {
       mesh.SendDatagram(it, sidecar.MakeHeartbeat());
@@ -134,7 +134,7 @@
                      std::string_view body) override;
   void OnHttpGone(std::uint64_t handle) override {}
 
-  void AskReport();
+  void FetchReport();
   void LogState();
   void Rearm();
   void QuitWhenDone();
@@ -231,9 +231,9 @@
   TellEntries();
 }
 
-void SidecarNode::Impl::AskReport() {
+void SidecarNode::Impl::FetchReport() {
   const TimeUs asked_at = Loop::Now();
-  upstream.AskReport([this, asked_at](const UpstreamReport& report) {
+  upstream.FetchReport([this, asked_at](const UpstreamReport& report) {
     if (report.reachable) {
       sidecar.SetState(NodeState::kReady);
     }
@@ -275,8 +275,8 @@
   impl_->sidecar.SetState(NodeState::kStarting);
   impl_->LogState();
   impl_->fence.Start(Loop::Now());
-  impl_->AskReport();
-  impl_->loop->Every(kReportPeriod, [this] { impl_->AskReport(); });
+  impl_->FetchReport();
+  impl_->loop->Every(kReportPeriod, [this] { impl_->FetchReport(); });
   return absl::OkStatus();
 }
 
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -126,7 +126,7 @@
   void OnStoreBack(TimeUs now);
   // See `kBackWithin`; the time counts from when the store was last asked in
   // vain.
-  void SetMostKept(DurationUs most_kept) { most_kept_ = most_kept; }
+  void SetMostKept(DurationUs max_kept) { most_kept_ = max_kept; }
   // Every row up to what the store held at `known_at` was given.
   void OnCurrent(TimeUs known_at);
   // Lets go of entries that were kept for the outage; call it every 10 ms.
--- a/src/transport/http_channels.cc
+++ b/src/transport/http_channels.cc
@@ -55,7 +55,7 @@
   }
   ~Impl() { loop->Cancel(sweep); }
 
-  Channel* TakeIdle(const Address& address, DurationUs most_idle);
+  Channel* TakeIdle(const Address& address, DurationUs max_idle_time);
   void Remove(Channel* channel);
   void Sweep();
 
@@ -88,13 +88,13 @@
       stream_ = *std::move(stream);
       return;
     }
-    owner_->loop->AfterWhile(owner_->alive, 0,
-                             [owner = owner_, self = this,
-                              why = std::string(stream.status().message())] {
-                               if (owner->channels.contains(self)) {
-                                 self->Fail(CallFailureKind::kConnect, why);
-                               }
-                             });
+    owner_->loop->AfterIfAlive(owner_->alive, 0,
+                               [owner = owner_, self = this,
+                                why = std::string(stream.status().message())] {
+                                 if (owner->channels.contains(self)) {
+                                   self->Fail(CallFailureKind::kConnect, why);
+                                 }
+                               });
   }
 
   void Begin(CallId id,
@@ -108,7 +108,7 @@
     connect_deadline_ = started_ + options.connect;
     answer_deadline_ = options.total > 0 ? started_ + options.total : 0;
     max_kept_ = std::min(kMaxIdlePerAddress,
-                         options.most_kept.value_or(kMaxIdlePerAddress));
+                         options.max_kept.value_or(kMaxIdlePerAddress));
     is_head_request_ = request.method == "HEAD";
     reader_.emplace(is_head_request_);
     head_delivered_ = false;
@@ -172,8 +172,8 @@
     }
   }
 
-  bool IsFresh(TimeUs now, DurationUs most_idle) const {
-    return now - idle_since_ <= std::min(most_idle, idle_timeout_);
+  bool IsFresh(TimeUs now, DurationUs max_idle_time) const {
+    return now - idle_since_ <= std::min(max_idle_time, idle_timeout_);
   }
 
   // Fails the call if a deadline has passed. Returns true if the idle
@@ -345,7 +345,7 @@
 
 HttpChannels::Impl::Channel* HttpChannels::Impl::TakeIdle(
     const Address& address,
-    DurationUs most_idle) {
+    DurationUs max_idle_time) {
   const auto it = idle.find(address);
   if (it == idle.end() || it->second.empty()) {
     return nullptr;
@@ -353,7 +353,7 @@
   // The most recently used connection is the least likely to have been closed
   // by the server.
   Channel* channel = it->second.back();
-  if (!channel->IsFresh(Loop::Now(), most_idle)) {
+  if (!channel->IsFresh(Loop::Now(), max_idle_time)) {
     // All others have been idle for longer. The oldest is closed in exchange
     // for the new connection; otherwise each request that needs a fresh
     // connection would add an idle one, until the replica refuses further
@@ -400,7 +400,7 @@
                            const ChannelOptions& options,
                            CallSink* sink) {
   const CallId id = impl_->next_id++;
-  Impl::Channel* channel = impl_->TakeIdle(address, options.most_idle);
+  Impl::Channel* channel = impl_->TakeIdle(address, options.max_idle_time);
   if (channel == nullptr) {
     auto made = std::make_unique<Impl::Channel>(impl_.get(), address);
     channel = made.get();
--- a/src/transport/http_channels.h
+++ b/src/transport/http_channels.h
@@ -65,7 +65,7 @@
 
 struct ChannelOptions {
   // Maximum idle time of a connection that is reused for this request.
-  DurationUs most_idle = 4 * kSecond;
+  DurationUs max_idle_time = 4 * kSecond;
   // Time limit for connecting. Far above a round trip, but shorter than the
   // second after which a lost SYN packet is retransmitted.
   DurationUs connect = 500 * kMillisecond;
@@ -74,7 +74,7 @@
   DurationUs total = 0;
   // Maximum number of idle connections to the address, including this one, that
   // are kept after the answer; `kMaxIdlePerAddress` if not set.
-  std::optional<std::size_t> most_kept;
+  std::optional<std::size_t> max_kept;
 };
 
 class HttpChannels {
--- a/src/transport/http_listener.cc
+++ b/src/transport/http_listener.cc
@@ -246,12 +246,13 @@
     // Continues from the loop: the handler must not receive the next request
     // while it is still inside the call that answered this one.
     if (!input_.empty()) {
-      owner_->loop->AfterWhile(owner_->alive, 0, [owner = owner_, self = this] {
-        if (owner->connections.contains(self) && self->id_ == 0 &&
-            !self->closing_) {
-          self->ReadNext();
-        }
-      });
+      owner_->loop->AfterIfAlive(owner_->alive, 0,
+                                 [owner = owner_, self = this] {
+                                   if (owner->connections.contains(self) &&
+                                       self->id_ == 0 && !self->closing_) {
+                                     self->ReadNext();
+                                   }
+                                 });
     }
   }
 
--- a/src/transport/loop.cc
+++ b/src/transport/loop.cc
@@ -102,9 +102,9 @@
   return AddTimer(period, std::move(task), true);
 }
 
-void Loop::AfterWhile(std::weak_ptr<const void> owner,
-                      DurationUs delay,
-                      Task task) {
+void Loop::AfterIfAlive(std::weak_ptr<const void> owner,
+                        DurationUs delay,
+                        Task task) {
   After(delay, [owner = std::move(owner), task = std::move(task)] {
     if (!owner.expired()) {
       task();
--- a/src/transport/loop.h
+++ b/src/transport/loop.h
@@ -37,7 +37,9 @@
   TimerId Every(DurationUs period, Task task);
   // Runs the task from the loop after `delay`, unless `owner` has been
   // destroyed by then, so that the task cannot use freed memory.
-  void AfterWhile(std::weak_ptr<const void> owner, DurationUs delay, Task task);
+  void AfterIfAlive(std::weak_ptr<const void> owner,
+                    DurationUs delay,
+                    Task task);
   void Cancel(TimerId id);
   void OnSignal(int signal, Task task);
   SocketPoller* sockets();
--- a/src/transport/upstream_client.cc
+++ b/src/transport/upstream_client.cc
@@ -224,7 +224,7 @@
   });
 }
 
-void UpstreamClient::AskReport(
+void UpstreamClient::FetchReport(
     const std::function<void(const UpstreamReport&)>& done) {
   HttpRequest request;
   request.url = StrCat(impl_->url, "/v1/load");
--- a/src/transport/upstream_client.h
+++ b/src/transport/upstream_client.h
@@ -36,7 +36,7 @@
           done);
   void PassOrder(const ControlOrder& order,
                  const std::function<void(OrderOutcome, FenceNumber)>& done);
-  void AskReport(const std::function<void(const UpstreamReport&)>& done);
+  void FetchReport(const std::function<void(const UpstreamReport&)>& done);
 
  private:
   struct Impl;
--- a/tests/gateway/transport_test.cc
+++ b/tests/gateway/transport_test.cc
@@ -151,7 +151,7 @@
   server.on_bytes = [](RawServer::Peer* peer) { peer->stream->Write(kMine); };
   HttpChannels channels(&loop);
   ChannelOptions fresh;
-  fresh.most_idle = -1;  // No idle connection is fresh enough.
+  fresh.max_idle_time = -1;  // No idle connection is fresh enough.
   for (int n = 0; n < 5; ++n) {
     Sink sink;
     channels.Start(server.address, Get(), fresh, &sink);
@@ -168,7 +168,7 @@
   server.on_bytes = [](RawServer::Peer* peer) { peer->stream->Write(kMine); };
   HttpChannels channels(&loop);
   ChannelOptions none;
-  none.most_kept = 0;
+  none.max_kept = 0;
   Sink sink;
   channels.Start(server.address, Get(), none, &sink);
   RunUntil(&loop, [&] { return sink.over(); });
@@ -397,9 +397,9 @@
   Loop loop;
   int runs = 0;
   auto owner = std::make_shared<const int>(0);
-  loop.AfterWhile(owner, 0, [&] { ++runs; });
+  loop.AfterIfAlive(owner, 0, [&] { ++runs; });
   auto gone = std::make_shared<const int>(0);
-  loop.AfterWhile(gone, 0, [&] { runs += 10; });
+  loop.AfterIfAlive(gone, 0, [&] { runs += 10; });
   gone.reset();
   RunUntil(&loop, [&] { return runs > 0; });
   EXPECT_EQ(runs, 1);
--- a/tests/soak/loopback.cc
+++ b/tests/soak/loopback.cc
@@ -40,7 +40,7 @@
            DurationUs delay,
            const std::weak_ptr<int>& alive,
            std::function<void()> task) {
-  loop->AfterWhile(alive, delay, std::move(task));
+  loop->AfterIfAlive(alive, delay, std::move(task));
 }
 
 void Repeat(Loop* loop,
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -271,7 +271,7 @@
   ledger_.OnSent(id, entry);
   ChannelOptions options;
   options.total = (kDeadlineMs + 1000) * kMillisecond;
-  options.most_idle = kSecond;
+  options.max_idle_time = kSecond;
   auto client = std::make_unique<Client>(this, id, stream);
   Client* sink = client.get();
   const CallId call =
