--- a/src/address_text.h
+++ b/src/address_text.h
@@ -1,4 +1,4 @@
-// Addresses as text: IP:PORT.
+// Formats and parses addresses in the form IP:PORT.
 #ifndef ACACIACHUTE_SRC_ADDRESS_TEXT_H_
 #define ACACIACHUTE_SRC_ADDRESS_TEXT_H_
 
--- a/src/messages.h
+++ b/src/messages.h
@@ -1,5 +1,5 @@
-// Messages between the system's own processes, as plain data. The codec is in
-// protocol/codec.h, so that the decisions do not depend on it.
+// Messages between the processes of the system, as plain structs. The codec is
+// separate (protocol/codec.h), so that decision code does not depend on it.
 #ifndef ACACIACHUTE_SRC_MESSAGES_H_
 #define ACACIACHUTE_SRC_MESSAGES_H_
 
@@ -14,43 +14,45 @@
 
 namespace acaciachute {
 
-// What a node knows of a request that was in progress when an upstream died;
-// coordination/interface/quarantine.h says how records of two nodes are put
-// together.
+// A node's record of a request that was in progress when an upstream crashed.
+// coordination/interface/quarantine.h defines how the records of two nodes are
+// merged.
 struct QuarantineRecord {
   std::uint64_t fingerprint = 0;
   std::uint32_t epoch = 0;
   Standing standing = Standing::kClear;
-  DurationUs age = 0;  // Since its last change.
+  DurationUs age = 0;  // Time since the record last changed.
   std::string account;
-  std::vector<NodeId> crashed_at;
+  std::vector<NodeId> crashed_at;  // Sidecars whose upstream crashed under it.
 };
 
-// Entry to sidecar: run one stage. It is addressed to one incarnation and
-// carries the time left instead of a wall-clock deadline, because clocks
-// disagree and a call may arrive at a successor of the sidecar it was meant
-// for.
+// Entry to sidecar: runs one stage. The call names the incarnation that it is
+// for, because it may arrive at a sidecar that restarted under the same NodeId.
+// It carries the time left instead of a wall-clock deadline, because clocks of
+// hosts disagree.
 struct StageCall {
   StageKey key;
-  Incarnation sidecar = 0;
+  Incarnation sidecar = 0;  // The incarnation that may run the call.
   CallerClass caller_class = CallerClass::kPatient;
   StageKind kind = StageKind::kService;
   bool idempotent = true;
   bool stream = false;
   DurationUs time_left = 0;
-  TimeUs sent_at = 0;  // Sender's clock; only differences to its others count.
+  // By the sender's clock; comparable only to its other `sent_at` values.
+  TimeUs sent_at = 0;
   DurationUs expected_service = 0;  // Entry's estimate; zero when unknown.
-  std::uint64_t fingerprint = 0;    // See `StageFingerprint`; for blame.
-  // What the sender holds against it, so that the sidecar knows as much.
+  // See `StageFingerprint`; identifies the request in quarantine records.
+  std::uint64_t fingerprint = 0;
+  // The sender's quarantine records of this request, if any.
   std::vector<QuarantineRecord> quarantined;
   std::string account;
-  std::string path;  // Below the upstream's base address.
+  std::string path;  // Relative to the upstream's base address.
   std::string body;
   std::string traceparent;
 };
 
-// Entry to sidecar: nobody waits for this attempt any longer. `time_left`
-// bounds how long the call itself may still be on its way.
+// Entry to sidecar: cancels an attempt whose result is no longer needed. The
+// call itself may arrive later than this message, by at most `time_left`.
 struct StageCancel {
   StageKey key;
   Incarnation sidecar = 0;
@@ -58,13 +60,14 @@
 };
 
 // Sidecar to entry: part of an answer. `sequence` counts from zero; the answer
-// is whole when every number up to the one marked `last` has arrived.
+// is complete when every chunk up to the one marked `last` has arrived.
 struct StageChunk {
   StageKey key;
   Incarnation sidecar = 0;
   std::uint32_t sequence = 0;
   bool last = false;
-  DurationUs service = 0;  // Upstream time so far; the cost of the stage.
+  // Upstream time of the attempt so far, which is the cost of the stage.
+  DurationUs service = 0;
   std::string body;
 };
 
@@ -75,54 +78,62 @@
   Verdict verdict = Verdict::kMayHaveRun;
   Refusal reason = Refusal::kUpstreamFailed;
   DurationUs retry_after = 0;
-  bool crashed = false;  // The upstream died with the attempt in progress.
-  std::vector<QuarantineRecord> quarantined;  // The attempt's, when it crashed.
+  bool crashed = false;  // The upstream crashed during the attempt.
+  // The quarantine record of the attempt's request, if the upstream crashed.
+  std::vector<QuarantineRecord> quarantined;
 };
 
-// A settings branch and the version a node has of it.
+// The version of a settings branch that a node has.
 struct BranchVersion {
   std::string branch;
   SettingsVersion version = 0;
 };
 
-// Stands for "no such moment" where an age is given.
+// Value of an age that is not known because there is nothing to measure from.
 inline constexpr DurationUs kNever = -1;
 
-// This long ago a witness had nothing newer than the sender of the message has.
+// States that a witness had no newer settings than the message's sender, `age`
+// before the message was sent.
 struct WitnessAge {
   std::uint64_t witness = 0;  // Hash of its NodeId.
   DurationUs age = 0;
 };
 
-// What a node has of the settings tree, in a size that does not grow with it.
-// Ages are measured at the sender, when it sends.
+// A summary, of constant size, of the settings tree that a node has. Ages are
+// measured by the sender when it sends the summary.
 struct SettingsDigest {
-  std::uint64_t hash = 0;  // Over all branches and versions.
-  std::uint64_t sum = 0;   // Of all versions: the larger one is asked.
-  // Everything that the table took before this long ago is included.
+  std::uint64_t hash = 0;  // Over all branch names and versions.
+  // Sum of all versions. Of two nodes whose trees differ, the one with the
+  // smaller sum pulls from the other.
+  std::uint64_t sum = 0;
+  // Age of the latest time up to which the tree is known to include every
+  // change that the table accepted.
   DurationUs proof_age = kNever;
   // Whether the sender may itself be counted as a witness.
   bool established = false;
   std::vector<WitnessAge> witnesses;  // At most `SettingsSync::kWitnesses`.
 };
 
-// Both ways over UDP. One with `reply_to` zero asks; the answer repeats the
-// sequence number of the question, so that the asker can tell how old it is.
+// Sent over UDP between entries, and between entries and sidecars. A heartbeat
+// whose `reply_to` is zero requests a reply, and the reply carries that
+// heartbeat's sequence number in `reply_to`, so that the receiver knows when it
+// asked for it.
 struct Heartbeat {
   Role role = Role::kEntry;
   NodeState state = NodeState::kStarting;
   std::uint64_t sequence = 0;
   std::uint64_t reply_to = 0;
-  TimeUs sent_at = 0;             // As in `StageCall`.
-  bool receiver_leaving = false;  // The entry heard that the receiver leaves.
+  TimeUs sent_at = 0;  // By the sender's clock, as in `StageCall`.
+  // The platform's host list shows the receiver as leaving.
+  bool receiver_leaving = false;
   LoadReport load;
-  FenceNumber fence = 0;
-  SettingsDigest settings;  // Of entries.
+  FenceNumber fence = 0;    // The number in force at a sidecar.
+  SettingsDigest settings;  // Only in heartbeats from entries.
   std::vector<QuarantineRecord> quarantined;
 };
 
-// Between entries over UDP: does the other one hear this sidecar? Answered only
-// when it does.
+// Between entries over UDP: asks whether the receiver can reach this sidecar.
+// The receiver replies with a `ReachReport` only if it can.
 struct ReachQuery {
   NodeId sidecar;
 };
@@ -132,7 +143,8 @@
   Incarnation incarnation = 0;
 };
 
-// Between entries over TCP: asks for every branch newer than those known.
+// Between entries over TCP: requests every branch that is missing in `known` or
+// newer there.
 struct SettingsPull {
   std::uint64_t sequence = 0;
   std::vector<BranchVersion> known;
@@ -144,8 +156,8 @@
   std::string json;
 };
 
-// Answers a pull, in as many parts as its size asks for; the digest stands in
-// the last one.
+// Reply to a `SettingsPull`, split into as many parts as its size requires. The
+// digest is in the last part.
 struct SettingsBodies {
   std::uint64_t reply_to = 0;
   bool last = false;
@@ -160,8 +172,9 @@
   return detail::NameIn(kOrderKindNames, v);
 }
 
-// Lease holder to sidecar: an order for the upstream. `order_id` makes a
-// repeated order harmless; `fence` makes an old holder's order void.
+// Lease holder to sidecar: a control order for the upstream. `order_id` lets
+// the sidecar recognize a repeated order, and `fence` lets it refuse an order
+// of a previous lease holder.
 struct ControlOrder {
   std::string order_id;
   Incarnation sidecar = 0;
@@ -177,59 +190,64 @@
   FenceNumber fence = 0;  // The number in force at the sidecar.
 };
 
-// Work that a gateway has at one engine.
+// Work that a gateway has in progress at one engine replica.
 struct EngineWork {
   std::string replica;
-  Incarnation life = 0;  // Of the replica, as the sender knows it.
+  Incarnation life = 0;  // The replica's incarnation, as the sender knows it.
   std::uint32_t running = 0;
-  std::uint64_t unread_tokens = 0;  // Of prompts without a first token yet.
+  // Prompt tokens of requests that have not produced their first token.
+  std::uint64_t unread_tokens = 0;
 };
 
-// The queue of a service whose pieces the sender batches.
+// Expected wait in the queue of a service whose pieces the sender batches.
 struct ServiceWait {
   std::string service;
   PoolWait wait;
 };
 
-// Gateway to gateway, over UDP: the sender lives, and what it has in progress.
+// Gateway to gateway, over UDP: periodic heartbeat with the sender's work in
+// progress and queue waits.
 struct GatewayBeat {
-  Address address;  // Where it listens, for peers that do not know it yet.
+  // The sender's listening address, for peers that do not know it yet.
+  Address address;
   bool leaving = false;
-  bool current = false;  // Whether it may check keys now.
-  double cores = 1;      // Share of a processor core that it is given.
-  std::string domain;    // Failure domain of its host.
-  DurationUs period = 150 * kMillisecond;  // Until its next beat, at most.
-  bool asks = false;                       // For a beat at once.
+  // Whether the sender's configuration is recent enough to check client keys.
+  bool current = false;
+  double cores = 1;    // Processor cores available to the sender.
+  std::string domain;  // Failure domain of the sender's host.
+  // Maximum time until the sender's next heartbeat to this receiver.
+  DurationUs period = 150 * kMillisecond;
+  bool asks = false;  // A probe: the receiver sends a heartbeat at once.
   std::vector<EngineWork> work;
   std::vector<ServiceWait> waits;
 };
 
-// Gateway to the gateway that batches a service's pieces.
+// Gateway to the gateway that batches a service's pieces: tasks to run.
 struct PieceOrders {
   std::vector<PieceOrder> orders;
 };
-// Nobody waits for the request's pieces any longer.
+// Gateway to gateway: cancels the pieces of a request.
 struct PieceDrop {
   std::string request;
 };
-// Results that are needed no longer.
+// Gateway to gateway: releases results that are no longer needed.
 struct PieceFree {
   std::vector<std::string> handles;
 };
-// The answers to orders.
+// Gateway to gateway: results of the tasks that the receiver sent.
 struct PieceResults {
   std::vector<PieceResult> results;
 };
 
-// Between gateways, over TCP: what changed in a table of the store? Without
-// news the answer is held for a while.
+// Gateway to gateway, over TCP: requests the changes of a table of the store.
+// While there are none, the receiver delays its reply by up to `wait`.
 struct TableQuestion {
   std::string table;
-  std::uint64_t sequence = 0;  // Of the asker's questions.
-  bool whole = false;          // All rows, or those above `after`.
-  std::uint64_t after = 0;
-  DurationUs wait = 0;  // Zero: the answer must not wait for news.
-  DurationUs age = 0;   // Of what the asker knows.
+  std::uint64_t sequence = 0;  // Numbers the sender's requests.
+  bool whole = false;          // Requests all rows; else those after `after`.
+  std::uint64_t after = 0;     // Version of the table that the sender has.
+  DurationUs wait = 0;         // Zero: reply at once, even without changes.
+  DurationUs age = 0;          // Age of the sender's copy of the table.
 };
 
 struct TableReply {
--- a/src/state/claim.cc
+++ b/src/state/claim.cc
@@ -13,8 +13,9 @@
 
 using Json = nlohmann::json;
 
-// Rows are JSON and so UTF-8; bytes of a key that are not plain ASCII are
-// written as %XX, or two keys could meet in one row.
+// Rows are JSON, which must be UTF-8. Bytes other than printable ASCII are
+// written as %XX, because replacing invalid UTF-8 could map two keys to one
+// row.
 void AppendEscaped(std::string* out, std::string_view text) {
   constexpr char kHex[] = "0123456789ABCDEF";
   for (const char c : text) {
@@ -88,14 +89,14 @@
 absl::StatusOr<Claim> DecodeClaim(std::string_view text) {
   const auto in = Json::parse(text, nullptr, false);
   if (!in.is_object()) {
-    return absl::DataLossError("claim row is no JSON object");
+    return absl::DataLossError("claim row is not a JSON object");
   }
   try {
     Claim claim;
     const auto state = detail::ValueIn<ClaimState>(
         kClaimStateNames, in.at("state").get<std::string>());
     if (!state) {
-      return absl::DataLossError("claim row has an unknown state");
+      return absl::DataLossError("claim row has an unknown value of \"state\"");
     }
     claim.state = *state;
     claim.body_hash = in.at("body_hash").get<std::uint64_t>();
@@ -108,7 +109,8 @@
                        : in.at("answer").get<std::string>();
     return claim;
   } catch (const Json::exception& e) {
-    return absl::DataLossError(StrCat("claim row: ", e.what()));
+    return absl::DataLossError(
+        StrCat("claim row has a missing or mistyped member: ", e.what()));
   }
 }
 
--- a/src/state/client_call.h
+++ b/src/state/client_call.h
@@ -1,4 +1,5 @@
-// One request of a client as the serving path sees it.
+// A client's request, and the head of a replica's answer, in the form in which
+// gateways process them.
 #ifndef ACACIACHUTE_SRC_STATE_CLIENT_CALL_H_
 #define ACACIACHUTE_SRC_STATE_CLIENT_CALL_H_
 
@@ -12,40 +13,44 @@
 
 namespace acaciachute {
 
-// A part of a prompt. Requests share parts; an engine that still holds one, and
-// all parts before it, does not read it again.
+// A part of a prompt. Several requests may contain the same part. An engine
+// that still has a part and all parts before it in its cache does not process
+// that part again.
 struct PromptPart {
   std::string id;
   std::uint32_t tokens = 0;
 };
 
 struct ClientCall {
-  std::string id;  // Of this attempt; the client's own retry has another.
+  // Request id; when the client itself retries, it sends another id.
+  std::string id;
   std::string method;
-  std::string target;  // Byte for byte.
+  std::string target;  // Byte for byte as received.
   std::string host;
-  HttpFields fields;  // Those that are passed on.
+  HttpFields fields;  // The fields that are forwarded to the replica.
   std::string body;
-  std::optional<std::string> key;
-  DurationUs deadline = 0;  // From when the client sent it.
+  std::optional<std::string> key;  // The client account's key.
+  DurationUs deadline = 0;         // Relative to when the client sent it.
   std::string model;
   std::uint64_t prompt_tokens = 0;
-  std::uint64_t output_tokens = 0;  // At most.
+  std::uint64_t output_tokens = 0;  // Maximum number of tokens to generate.
   std::vector<PromptPart> prompt;
-  std::vector<std::uint32_t> pieces;  // By stage; zero leaves a stage out.
-  std::string piece_key;              // What first stages work on.
-  std::optional<std::uint64_t> resume_after;  // Last event that it has.
+  std::vector<std::uint32_t> pieces;  // Number of pieces by stage; zero: skip.
+  std::string piece_key;  // Source of the stages that need no other stage.
+  // Number of the last stream event that the client has received.
+  std::optional<std::uint64_t> resume_after;
 };
 
-// What a replica said before the body of its answer.
+// Status and header fields of a replica's answer.
 struct ReplicaHead {
   int status = 0;
-  HttpFields fields;  // Those that are passed on.
-  // The replica's own word that it did not run the request.
+  HttpFields fields;  // The fields that are forwarded to the client.
+  // The replica states that it did not run the request.
   bool not_run = false;
-  bool other_replica = false;  // The address belongs to another one now.
-  bool sealed = false;         // Carries the replica's proof.
-  bool encoded = false;        // The body is not the replica's own bytes.
+  bool other_replica = false;  // Another replica now has the address.
+  bool sealed = false;         // Has the field that seals the replica's answer.
+  bool encoded = false;        // The body has a content encoding.
+  // Requests at the replica, if its answer reports them.
   std::optional<std::uint32_t> running;
   std::optional<std::uint32_t> waiting;
 
--- a/src/state/cost_table.h
+++ b/src/state/cost_table.h
@@ -1,4 +1,4 @@
-// What requests have cost, by event, account and pool.
+// Accumulated cost of requests by event, account and pool.
 #ifndef ACACIACHUTE_SRC_STATE_COST_TABLE_H_
 #define ACACIACHUTE_SRC_STATE_COST_TABLE_H_
 
@@ -14,15 +14,15 @@
 struct CostSum {
   std::uint64_t requests = 0;
   std::uint64_t attempts = 0;
-  DurationUs service = 0;  // Upstream time.
+  DurationUs service = 0;  // Time that upstreams spent on the requests.
 };
 
 class CostTable {
  public:
   using Key = std::tuple<std::string, std::string, std::string>;
-  // Rows kept apart; further accounts are counted together under
-  // `kOtherAccounts`, so that 33,000 accounts do not fill an entry's memory.
-  static constexpr std::size_t kMostRows = 4096;
+  // Limits an entry's memory: there may be 33,000 accounts. Once the table has
+  // this many rows, accounts without a row are summed under `kOtherAccounts`.
+  static constexpr std::size_t kMaxRows = 4096;
   static constexpr char kOtherAccounts[] = "(others)";
 
   void Add(const std::string& event,
@@ -31,7 +31,7 @@
            std::uint32_t attempts,
            DurationUs service) {
     Key key{event, account, pool};
-    if (rows_.size() >= kMostRows && !rows_.contains(key)) {
+    if (rows_.size() >= kMaxRows && !rows_.contains(key)) {
       std::get<1>(key) = kOtherAccounts;
     }
     CostSum& sum = rows_[key];
--- a/src/state/event_log.h
+++ b/src/state/event_log.h
@@ -1,4 +1,4 @@
-// One structured line for each decision and each change of belief.
+// Structured log: one line for each decision and each change of state.
 #ifndef ACACIACHUTE_SRC_STATE_EVENT_LOG_H_
 #define ACACIACHUTE_SRC_STATE_EVENT_LOG_H_
 
@@ -33,7 +33,7 @@
 class EventLog {
  public:
   virtual ~EventLog() = default;
-  // Never blocks. `event` is a fixed word such as "refused".
+  // Must not block. `event` is the name of the event, such as "refused".
   virtual void Write(std::string_view event, LogFields fields) = 0;
 };
 
--- a/src/state/host_settings.h
+++ b/src/state/host_settings.h
@@ -1,4 +1,4 @@
-// What a process on the platform is told of its host when it starts.
+// Settings of a gateway process, as the platform's file gives them.
 #ifndef ACACIACHUTE_SRC_STATE_HOST_SETTINGS_H_
 #define ACACIACHUTE_SRC_STATE_HOST_SETTINGS_H_
 
@@ -10,27 +10,31 @@
 
 namespace acaciachute {
 
-// What repeats may cost one service, over all entries together.
+// Limits the retries of requests to one service, summed over all gateways.
 struct AttemptBudgetLimits {
-  double ratio = 0.2;  // Of the requests in a window.
-  double slack = 50;   // Beside them.
+  double ratio = 0.2;  // Retries per request within `window`.
+  double slack = 50;   // Retries allowed in addition within `window`.
   DurationUs window = 10 * kSecond;
   bool operator==(const AttemptBudgetLimits&) const = default;
 };
 
-// What one cold replica may get in a second, over all entries together.
+// Limits the requests per second to one cold replica, summed over all gateways.
 struct ColdBound {
-  double over = 1.5;  // Of the rate that it stands.
-  double slack = 5;   // Beside it.
+  double over = 1.5;  // Factor on the rate that a cold replica can handle.
+  double slack = 5;   // Requests per second allowed in addition.
   bool operator==(const ColdBound&) const = default;
 };
 
-// How long after the store's acknowledgement a host that has reached the store
-// for `contact` may act on what was true before.
+// Bounds on how long a host may act on a row that was replaced, measured from
+// the store's acknowledgement of the change. They apply to hosts that have been
+// able to reach the store for at least `contact`.
 struct FreshnessBounds {
-  DurationUs drain = 2 * kSecond;         // Send to a replica that left.
-  DurationUs config_apply = 2 * kSecond;  // Go by the configuration before.
-  DurationUs evacuation = 5 * kSecond;    // Send to an emptied failure domain.
+  // Sending requests to a replica that has announced that it leaves.
+  DurationUs drain = 2 * kSecond;
+  // Applying the previous configuration.
+  DurationUs config_apply = 2 * kSecond;
+  // Sending requests to replicas in an evacuated failure domain.
+  DurationUs evacuation = 5 * kSecond;
   DurationUs contact = 3 * kSecond;
   bool operator==(const FreshnessBounds&) const = default;
 };
@@ -38,22 +42,23 @@
 struct HostSettings {
   NodeId node;
   std::string ip;
-  std::string domain;  // Failure domain.
-  Address clients;     // Where clients' connections arrive.
-  Address readiness;   // Where the balancer asks whether to send any.
+  std::string domain;  // Failure domain of the host.
+  Address clients;     // Listens for connections of clients.
+  Address readiness;   // Listens for the balancer's readiness checks.
   Address store;
-  std::uint16_t first_peer_port = 0;  // For the system's own processes.
+  // Range of ports for connections between the system's own processes.
+  std::uint16_t first_peer_port = 0;
   std::uint16_t last_peer_port = 0;
-  double cores = 1;  // Share of a processor core that the process is given.
+  double cores = 1;  // Processor cores available to the process.
   std::uint64_t memory_bytes = 0;
   std::uint32_t max_descriptors = 0;
-  // How long after it was taken away a key may still be used.
+  // Maximum time for which a revoked key is still accepted.
   DurationUs key_revocation = 5 * kSecond;
   FreshnessBounds freshness;
-  DurationUs grace = 8 * kSecond;  // From the order to stop to the kill.
-  AttemptBudgetLimits retries;     // Over all entries together.
+  DurationUs grace = 8 * kSecond;  // Time between SIGTERM and SIGKILL.
+  AttemptBudgetLimits retries;
   ColdBound cold;
-  // How often replicas write their rows.
+  // Period with which each replica writes its row to the store.
   DurationUs replica_beat = 1200 * kMillisecond;
 };
 
--- a/src/state/http_fields.h
+++ b/src/state/http_fields.h
@@ -1,4 +1,4 @@
-// The fields of an HTTP head, in the order in which they came.
+// Header fields of an HTTP message, in the order in which they were received.
 #ifndef ACACIACHUTE_SRC_STATE_HTTP_FIELDS_H_
 #define ACACIACHUTE_SRC_STATE_HTTP_FIELDS_H_
 
@@ -14,11 +14,13 @@
 };
 using HttpFields = std::vector<HttpField>;
 
-// The first field of that name, in any case; null when there is none.
+// Returns the value of the first field with that name, ignoring case, or null
+// when there is none.
 const std::string* FindField(const HttpFields& fields, std::string_view name);
 
-// Whether a field concerns one connection only and is never passed on
-// (RFC 9110, 7.6.1), `Connection`'s own list of names included.
+// Returns whether a field applies to one connection only and must not be
+// forwarded (RFC 9110, section 7.6.1). The fields that `Connection` lists are
+// included.
 bool IsHopByHop(const HttpFields& fields, std::string_view name);
 
 }  // namespace acaciachute
--- a/src/state/metrics.cc
+++ b/src/state/metrics.cc
@@ -38,8 +38,8 @@
   return metric;
 }
 
-// The family of `name`, appended when the last one is another's; the maps are
-// ordered by name, so one family is filled at a time.
+// Returns the last family if it is called `name`, or else appends one. That
+// finds each family because the maps are iterated in the order of names.
 prometheus::MetricFamily& FamilyOf(std::vector<prometheus::MetricFamily>* all,
                                    const std::string& name,
                                    prometheus::MetricType type) {
--- a/src/state/metrics.h
+++ b/src/state/metrics.h
@@ -1,4 +1,4 @@
-// Counters and quantiles of one process, read out as Prometheus text.
+// Counters and quantiles of one process, exported in Prometheus text format.
 #ifndef ACACIACHUTE_SRC_STATE_METRICS_H_
 #define ACACIACHUTE_SRC_STATE_METRICS_H_
 
@@ -18,12 +18,13 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  // Adds to a counter. `label` is one value of the counter's only label,
-  // "kind"; empty for none.
+  // Adds `n` to a counter. `label` is the value of the counter's only label,
+  // "kind"; empty: the counter has no label.
   void Count(std::string_view name,
              std::string_view label = "",
              std::uint64_t n = 1);
-  // Adds a sample in microseconds; 50, 99 and 99.9 % are kept.
+  // Adds a sample to a summary, which exports the 50th, 99th and 99.9th
+  // percentile in seconds.
   void Observe(std::string_view name, std::string_view label, DurationUs value);
 
   std::uint64_t Value(std::string_view name, std::string_view label = "") const;
--- a/src/state/piece.h
+++ b/src/state/piece.h
@@ -1,5 +1,5 @@
-// A piece of a stage: the smallest work that a batching service does. Making a
-// piece twice is allowed; each making has its own result.
+// Pieces of a stage: the smallest units of work of a batching service. A piece
+// may be computed more than once; each computation has a result of its own.
 #ifndef ACACIACHUTE_SRC_STATE_PIECE_H_
 #define ACACIACHUTE_SRC_STATE_PIECE_H_
 
@@ -16,7 +16,7 @@
 namespace acaciachute {
 
 struct PieceKey {
-  std::string request;  // The client's id of its attempt.
+  std::string request;  // Id of the client's request.
   std::uint32_t stage = 0;
   std::uint32_t piece = 0;
   auto operator<=>(const PieceKey&) const = default;
@@ -25,30 +25,34 @@
 struct PieceOrder {
   PieceKey key;
   std::string service;
-  std::string source;               // For a stage that needs no other.
+  std::string source;               // Input of a stage that needs no other.
   std::vector<std::string> inputs;  // Handles of the results it needs.
-  DurationUs time_left = 0;         // Until nobody waits for it.
-  DurationUs time_to_begin = 0;     // Until the request would be late if no
-                                    // call for the piece had begun.
-  DurationUs waited = 0;            // Since the request arrived.
-  std::uint64_t holds_bytes = 0;    // Results that wait for this stage.
-  std::uint32_t priority = 0;       // Zero is the most urgent.
-  std::uint64_t result_bytes = 0;
-  // Pieces of this stage of the request, when nothing else needs their inputs;
-  // zero when something does.
+  DurationUs time_left = 0;         // Until the request's deadline.
+  // Latest start of a call for the piece with which the request can still meet
+  // its target.
+  DurationUs time_to_begin = 0;
+  DurationUs waited = 0;  // Time since the request arrived.
+  // Results of earlier stages that are held in memory until this stage has run,
+  // per piece of this stage.
+  std::uint64_t holds_bytes = 0;
+  std::uint32_t priority = 0;      // Zero is the most urgent.
+  std::uint64_t result_bytes = 0;  // Approximate size of the piece's result.
+  // The number of pieces of this stage of the request, if no other stage needs
+  // their inputs, so that the inputs can be released once all have been read.
+  // Zero if another stage needs them.
   std::uint32_t sole_users = 0;
-  // Failure domain of what it fetches, or of who fetches its result; may be
-  // empty.
+  // Preferred failure domain: that of the inputs, or that of the replica which
+  // will fetch the result. Empty: no preference.
   std::string near_domain;
 };
 
 enum class PieceOutcome {
   kMade,
-  kLate,       // Its time was over when its turn came.
-  kInputGone,  // A result that it needs is no longer there.
-  kNoRoom,     // The replica has no memory for the result.
+  kLate,       // The time left ran out before the piece was started.
+  kInputGone,  // A result that the piece needs no longer exists.
+  kNoRoom,     // The replica has no free memory for the result.
   kFailed,
-  kNotMade,  // No replica could be found for it.
+  kNotMade,  // No replica was available.
 };
 inline constexpr std::array<std::string_view, 6> kPieceOutcomeNames = {
     "made", "late", "input_gone", "no_room", "failed", "not_made"};
@@ -56,14 +60,14 @@
   return detail::NameIn(kPieceOutcomeNames, v);
 }
 
-// What a piece handed in now would wait until its call begins.
+// Expected time that a piece queued now would wait until its call begins.
 struct PoolWait {
-  // By the piece's standing: of a request that can be on time, by its priority,
-  // or of one that is late whatever happens.
+  // Priorities that are told apart; less urgent ones count as the last.
   static constexpr std::size_t kRanks = 8;
+  // For requests that can still meet their target, by priority.
   std::array<DurationUs, kRanks> in_time{};
-  DurationUs late = 0;
-  double memory = 0;  // Share of the replicas' memory for results that is held.
+  DurationUs late = 0;  // For requests that can no longer meet their target.
+  double memory = 0;    // Share of the replicas' result memory in use.
 
   DurationUs Of(std::uint32_t priority) const {
     return in_time[std::min<std::size_t>(priority, kRanks - 1)];
@@ -73,7 +77,9 @@
 struct PieceResult {
   PieceKey key;
   PieceOutcome outcome = PieceOutcome::kFailed;
-  std::string handle;  // Where the result lies, when made.
+  // Location of the result: its replica's address, a slash and a name. Empty
+  // unless the outcome is `kMade`.
+  std::string handle;
 };
 
 }  // namespace acaciachute
--- a/src/state/random.h
+++ b/src/state/random.h
@@ -1,4 +1,5 @@
-// Random numbers as a dependency, so that a seed repeats a run.
+// A source of random numbers that is passed in as a dependency, so that a run
+// can be reproduced from its seed.
 #ifndef ACACIACHUTE_SRC_STATE_RANDOM_H_
 #define ACACIACHUTE_SRC_STATE_RANDOM_H_
 
@@ -13,7 +14,7 @@
 
   std::uint64_t Next() { return engine_(); }
 
-  // Uniform in [0, n); zero when n is zero.
+  // Returns a uniformly distributed number in [0, n), or zero when n is zero.
   std::uint64_t Below(std::uint64_t n) { return n == 0 ? 0 : engine_() % n; }
 
  private:
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -7,14 +7,15 @@
 namespace acaciachute {
 namespace {
 
-// Debian builds Abseil with a string view of its own.
+// Converts to Abseil's string view, which in Debian's build of Abseil is a
+// different type from `std::string_view`.
 absl::string_view KeyOf(std::string_view text) {
   return {text.data(), text.size()};
 }
 
 }  // namespace
 
-bool ReplicaDirectory::PassedOver(ReplicaEntry* entry) const {
+bool ReplicaDirectory::ApplyEnded(ReplicaEntry* entry) const {
   const auto it = ended_.find(entry->id.name);
   if (it == ended_.end() || entry->id.life == 0) {
     return false;
@@ -25,7 +26,7 @@
   return entry->id.life < ended.life;
 }
 
-void ReplicaDirectory::List(const ReplicaEntry& entry) {
+void ReplicaDirectory::Insert(const ReplicaEntry& entry) {
   const auto [it, inserted] = entries_.try_emplace(entry.id.name);
   Row& row = it->second;
   if (!inserted) {
@@ -38,15 +39,15 @@
   AddToIndexes(&row);
 }
 
-void ReplicaDirectory::TellAdded(const ReplicaEntry& entry) {
+void ReplicaDirectory::NotifyAdded(const ReplicaEntry& entry) {
   watcher_->OnReplica(entry, DirectoryChange::kAdded);
   if (entry.leaving) {
     watcher_->OnReplica(entry, DirectoryChange::kLeaving);
   }
 }
 
-// Another row of the same life. Leaving is for good: an older row, read late,
-// does not take it back.
+// Applies another row of the same incarnation. Leaving is final: an older row
+// that is read late does not revert it.
 void ReplicaDirectory::Update(Row* row, const ReplicaEntry& entry) {
   const ReplicaEntry before = row->entry;
   const bool was_unreadable = row->unreadable;
@@ -73,19 +74,20 @@
   ReplicaEntry entry = given;
   const auto it = entries_.find(entry.id.name);
   if (it == entries_.end()) {
-    if (PassedOver(&entry)) {
+    if (ApplyEnded(&entry)) {
       watcher_->OnReplica(entry, DirectoryChange::kOlderLife);
       return;
     }
-    List(entry);
-    TellAdded(entry);
+    Insert(entry);
+    NotifyAdded(entry);
     return;
   }
   const Incarnation known = it->second.entry.id.life;
   if (entry.id.life == known) {
     Update(&it->second, entry);
   } else if (entry.id.life == 0) {
-    PutUnreadable(entry.id.name);  // Its own rows told the start.
+    // The replica's own rows have the start, so another writer wrote this one.
+    PutUnreadable(entry.id.name);
   } else if (entry.id.life < known) {
     watcher_->OnReplica(entry, DirectoryChange::kOlderLife);
   } else {
@@ -93,16 +95,16 @@
   }
 }
 
-// The new life is listed before anybody hears of the old one's end: whoever
-// hears of it may choose a replica at once.
+// Inserts the new incarnation before it reports the end of the previous one,
+// because the watcher may choose a replica during that call.
 void ReplicaDirectory::Restart(const ReplicaEntry& known,
                                const ReplicaEntry& entry) {
-  const ReplicaEntry before = known;  // Its row is written over.
-  const bool told = before.id.life != 0;
-  List(entry);
+  const ReplicaEntry before = known;  // A copy: `Insert` overwrites `known`.
+  const bool has_start = before.id.life != 0;
+  Insert(entry);
   watcher_->OnReplica(
-      before, told ? DirectoryChange::kRestarted : DirectoryChange::kGone);
-  TellAdded(entry);
+      before, has_start ? DirectoryChange::kRestarted : DirectoryChange::kGone);
+  NotifyAdded(entry);
 }
 
 void ReplicaDirectory::PutUnreadable(const std::string& name) {
@@ -111,7 +113,7 @@
     return;
   }
   it->second.unreadable = true;
-  Place(&it->second);
+  UpdateEligible(&it->second);
   watcher_->OnReplica(it->second.entry, DirectoryChange::kUnreadable);
 }
 
@@ -146,7 +148,7 @@
       gone.push_back(name);
     }
   }
-  std::sort(gone.begin(), gone.end());  // Logs and tests see one order.
+  std::sort(gone.begin(), gone.end());  // Makes the order deterministic.
   for (const auto& it : gone) {
     Remove(now, it);
   }
@@ -157,13 +159,13 @@
   store_lost_at_ = std::max(store_lost_at_, asked_at);
 }
 
-// Whether the store was away or just this host cut off is not known. A host
-// that was cut off must have let go of what left before it counts as one that
-// reaches the store.
+// A host cannot distinguish an outage of the store from being cut off itself.
+// In the second case it must drop replicas that left before it counts as a host
+// that reaches the store, hence the limit `most_kept_`.
 void ReplicaDirectory::OnStoreBack(TimeUs now) {
   if (store_lost_) {
     store_lost_ = false;
-    keep_until_ = std::min(now + kBackWithin, store_lost_at_ + most_kept_);
+    keep_until_ = std::min(now + kRelistTime, store_lost_at_ + most_kept_);
   }
 }
 
@@ -172,10 +174,10 @@
 }
 
 void ReplicaDirectory::OnTick(TimeUs now) {
-  if (now >= forget_ended_at_) {
-    forget_ended_at_ = now + kSecond;
+  if (now >= next_ended_cleanup_at_) {
+    next_ended_cleanup_at_ = now + kSecond;
     std::erase_if(ended_, [now](const auto& it) {
-      return now - it.second.at > kRememberEnded;
+      return now - it.second.at > kEndedRetention;
     });
   }
   if (missing_.empty() || store_lost_ || now < keep_until_) {
@@ -184,7 +186,7 @@
   std::vector<std::string> gone(missing_.begin(), missing_.end());
   std::sort(gone.begin(), gone.end());
   for (const auto& name : gone) {
-    // Whoever was told of the one before may have had this one listed again.
+    // The watcher may have inserted this entry again during a previous `Erase`.
     if (missing_.contains(name)) {
       Erase(now, entries_.find(name));
     }
@@ -194,7 +196,7 @@
 void ReplicaDirectory::Evacuate(const std::string& domain) {
   evacuated_.insert(domain);
   for (auto& [name, row] : entries_) {
-    Place(&row);
+    UpdateEligible(&row);
   }
 }
 
@@ -203,7 +205,7 @@
   for (auto& [name, row] : entries_) {
     if (row.entry.domain == domain) {
       row.entry.back_at = now;
-      Place(&row);
+      UpdateEligible(&row);
     }
   }
 }
@@ -219,7 +221,7 @@
     std::string_view service) const {
   static const std::vector<const ReplicaEntry*> none;
   const auto it = services_.find(KeyOf(service));
-  return it == services_.end() ? none : it->second.taking;
+  return it == services_.end() ? none : it->second.eligible;
 }
 
 const ReplicaEntry* ReplicaDirectory::Find(const ReplicaId& id) const {
@@ -227,25 +229,26 @@
   return row == nullptr ? nullptr : &row->entry;
 }
 
-// An address that two rows name, as when it is used again or another writer
-// names it too, belongs to the one that takes work, or else to the first.
+// Several rows may name the same address, if it was reassigned or if another
+// writer wrote one of them. It is attributed to an eligible row if there is
+// one, and among equals to the one that was listed first.
 const ReplicaEntry* ReplicaDirectory::MakerOf(std::string_view handle) const {
   const auto it = by_address_.find(KeyOf(handle.substr(0, handle.find('/'))));
   if (it == by_address_.end()) {
     return nullptr;
   }
-  const auto claim = [this](const Row* row) {
-    return std::pair(!Takes(*row), row->added);
+  const auto order = [this](const Row* row) {
+    return std::pair(!IsEligible(*row), row->added);
   };
   const Row* owner = *std::min_element(
       it->second.begin(), it->second.end(),
-      [&](const Row* a, const Row* b) { return claim(a) < claim(b); });
+      [&](const Row* a, const Row* b) { return order(a) < order(b); });
   return &owner->entry;
 }
 
 bool ReplicaDirectory::TakesWork(const ReplicaId& id) const {
   const Row* row = RowOf(id);
-  return row != nullptr && Takes(*row);
+  return row != nullptr && IsEligible(*row);
 }
 
 const ReplicaDirectory::Row* ReplicaDirectory::RowOf(
@@ -255,7 +258,7 @@
   return same ? &it->second : nullptr;
 }
 
-bool ReplicaDirectory::Takes(const Row& row) const {
+bool ReplicaDirectory::IsEligible(const Row& row) const {
   return !row.entry.leaving && !row.unreadable &&
          !evacuated_.contains(row.entry.domain) &&
          (row.entry.id.life != 0 ||
@@ -264,7 +267,7 @@
 
 void ReplicaDirectory::Erase(TimeUs now, Rows::iterator it) {
   const ReplicaEntry entry = it->second.entry;
-  // First: whoever is told may choose another replica at once.
+  // Before the notification, because the watcher may choose a replica in it.
   RemoveFromIndexes(&it->second);
   missing_.erase(entry.id.name);
   entries_.erase(it);
@@ -279,13 +282,13 @@
   by_address_[row->address].push_back(row);
   ServiceRows& service = services_[row->entry.service];
   if (row->entry.id.life == 0) {
-    service.untold.insert(row);
+    service.without_incarnation.insert(row);
   } else if (service.lives_told++ == 0) {
-    for (Row* it : service.untold) {
-      Place(it);
+    for (Row* it : service.without_incarnation) {
+      UpdateEligible(it);
     }
   }
-  Place(row);
+  UpdateEligible(row);
 }
 
 void ReplicaDirectory::RemoveFromIndexes(Row* row) {
@@ -294,46 +297,46 @@
   if (address->second.empty()) {
     by_address_.erase(address);
   }
-  Unplace(row);
+  RemoveFromEligible(row);
   const auto service = services_.find(row->entry.service);
   ServiceRows& rows = service->second;
   if (row->entry.id.life == 0) {
-    rows.untold.erase(row);
+    rows.without_incarnation.erase(row);
   } else if (--rows.lives_told == 0) {
-    for (Row* it : rows.untold) {
-      Place(it);
+    for (Row* it : rows.without_incarnation) {
+      UpdateEligible(it);
     }
   }
-  if (rows.lives_told == 0 && rows.untold.empty()) {
+  if (rows.lives_told == 0 && rows.without_incarnation.empty()) {
     services_.erase(service);
   }
 }
 
-void ReplicaDirectory::Place(Row* row) {
-  if (!Takes(*row)) {
-    Unplace(row);
-  } else if (!row->taking) {
+void ReplicaDirectory::UpdateEligible(Row* row) {
+  if (!IsEligible(*row)) {
+    RemoveFromEligible(row);
+  } else if (!row->eligible) {
     ServiceRows& service = services_.at(row->entry.service);
-    row->taking = true;
+    row->eligible = true;
     row->position = service.rows.size();
     service.rows.push_back(row);
-    service.taking.push_back(&row->entry);
+    service.eligible.push_back(&row->entry);
   }
 }
 
-// The last one takes its position.
-void ReplicaDirectory::Unplace(Row* row) {
-  if (!row->taking) {
+// Fills the gap with the last element, so that the removal takes constant time.
+void ReplicaDirectory::RemoveFromEligible(Row* row) {
+  if (!row->eligible) {
     return;
   }
   ServiceRows& service = services_.at(row->entry.service);
   Row* last = service.rows.back();
   last->position = row->position;
   service.rows[row->position] = last;
-  service.taking[row->position] = &last->entry;
+  service.eligible[row->position] = &last->entry;
   service.rows.pop_back();
-  service.taking.pop_back();
-  row->taking = false;
+  service.eligible.pop_back();
+  row->eligible = false;
 }
 
 }  // namespace acaciachute
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -1,26 +1,27 @@
-// The replicas that the platform lists, and which of them take new work.
+// The replicas that the platform's store lists, and which of them accept new
+// work.
 //
-// Failure: the store that lists replicas is away for some seconds, and their
-// entries lapse in it although they run. Symptom: on the store's return every
-// replica is gone at once and all requests are refused. An entry that vanishes
-// during an outage or just after it stays in use until `kBackWithin` after the
-// return; a replica that lives has written its entry again by then, and one
-// that has not is gone. An entry that says that its replica leaves is believed
-// at once, in an outage too. Only a question that the store did not answer this
-// host is an outage: otherwise an entry that vanishes is one of a replica that
-// left.
+// Outages of the store: replicas' rows expire in the store while it is away,
+// although the replicas run. If they were dropped when it returns, all requests
+// would be refused. Therefore an entry whose row is removed during an outage,
+// or shortly after it, stays in use until `kRelistTime` after the store's
+// return. Running replicas have written their rows again by then; the other
+// entries are removed. A row that marks its replica as leaving takes effect at
+// once, also during an outage. An outage begins only when the store fails to
+// answer a request of this host; at other times a removed row means that the
+// replica left.
 //
-// Failure: a replica starts again under its name. Symptom: it never gets work
-// again because its life before had left, or requests wait for results, prompt
-// parts and answers that the new life does not have. Entries tell the start of
-// each life. A later start ends what is believed of the life before, in
-// `DirectoryChange::kRestarted`; an earlier one is passed over, so that a row
-// that is read late changes nothing. All that is kept by `ReplicaId` is kept
-// for one life.
+// Restarts: a replica may start again under the same name. Its new incarnation
+// must get work even if the previous one was leaving, and requests must not
+// wait for results, cached prompt parts or answers of the previous incarnation.
+// Rows contain the start time of the incarnation that wrote them. A later start
+// replaces the entry and reports `DirectoryChange::kRestarted`; a row with an
+// earlier start is ignored, so that a row that is read late has no effect.
+// State that is stored by `ReplicaId` belongs to one incarnation.
 //
-// Load pattern: thousands of replicas, each of which writes its row every
-// second, and thousands of rows at a start. A row costs what it changes itself:
-// the indexes are kept as rows come and go.
+// Scale: there are thousands of replicas, each of which writes its row every
+// second, and all rows are read at the start. The indexes are updated
+// incrementally, so that the cost of a row does not depend on their number.
 #ifndef ACACIACHUTE_SRC_STATE_REPLICA_DIRECTORY_H_
 #define ACACIACHUTE_SRC_STATE_REPLICA_DIRECTORY_H_
 
@@ -39,16 +40,17 @@
 
 namespace acaciachute {
 
-// One life of a replica, from its start to its end.
+// Identifies one incarnation of a replica, from its start to its end.
 struct ReplicaId {
   ReplicaId() = default;
-  // Implicit, because a name alone stands for a life whose start is not told.
+  // Implicit: a name alone identifies an incarnation with unknown start.
   ReplicaId(std::string name_in, Incarnation life_in = 0)
       : name(std::move(name_in)), life(life_in) {}
   ReplicaId(const char* name_in) : name(name_in) {}
 
   std::string name;
-  Incarnation life = 0;  // Its start, in Unix milliseconds; zero: not told.
+  // The start of the incarnation in Unix milliseconds; zero: unknown.
+  Incarnation life = 0;
 
   auto operator<=>(const ReplicaId&) const = default;
   template <typename H>
@@ -64,22 +66,28 @@
   std::string domain;  // Failure domain.
   std::uint32_t slots = 1;
   bool leaving = false;
-  TimeUs cold_until = 0;     // By what its rows said; they only put it off.
-  TimeUs back_at = 0;        // Its failure domain was taken back; zero: never.
-  std::uint64_t orders = 0;  // Accepted by it in this life; never falls.
+  // End of the cold start according to the rows; the latest value is kept.
+  TimeUs cold_until = 0;
+  // When the last evacuation of its failure domain ended; zero: none has.
+  TimeUs back_at = 0;
+  // Number of calls that this incarnation has accepted, as the row states it;
+  // it never decreases.
+  std::uint64_t orders = 0;
 };
 
-// What became of an entry, for logs and for those who keep state by replica.
+// Changes of an entry, for logs and for components that keep state by replica.
 enum class DirectoryChange {
   kAdded,
   kLeaving,
   kGone,
-  kRestarted,     // This life ended: another one began under its name.
-  kKeptInOutage,  // Its entry vanished; it may live.
-  kUnreadable,    // Its entry names no replica until it can be read again.
+  kRestarted,     // A later incarnation replaced this one.
+  kKeptInOutage,  // Its row was removed, but the replica may still run.
+  kUnreadable,    // Its row cannot be parsed; no new work until it can.
   kReadable,
-  kOlderLife,  // A row of a life that had ended; passed over.
-  kCountFell,  // Its orders fell within one life: not the replica's own row.
+  kOlderLife,  // A row of an ended incarnation was ignored.
+  // `ReplicaEntry::orders` decreased within an incarnation, so another writer
+  // must have written the row.
+  kCountFell,
 };
 inline constexpr std::array<std::string_view, 9> kDirectoryChangeNames = {
     "added",      "leaving",  "gone",       "restarted", "kept_in_outage",
@@ -97,59 +105,60 @@
 
 class ReplicaDirectory {
  public:
-  // The platform's word: living replicas are listed again about two seconds
-  // after the store is back.
-  static constexpr DurationUs kBackWithin = 2 * kSecond;
+  // Time that running replicas take to write their rows again after an outage
+  // of the store. The platform states about two seconds.
+  static constexpr DurationUs kRelistTime = 2 * kSecond;
 
-  // Lives that ended are remembered this long, so that a late row of one does
-  // not bring it back. Far above the history that the store keeps.
-  static constexpr DurationUs kRememberEnded = 120 * kSecond;
+  // Ended incarnations are remembered for this time, so that a row which is
+  // read late does not add one again. Much longer than the store's history.
+  static constexpr DurationUs kEndedRetention = 120 * kSecond;
 
   explicit ReplicaDirectory(DirectoryWatcher* watcher) : watcher_(watcher) {}
 
   void Put(const ReplicaEntry& entry);
-  // The row of that name cannot be read: another writer may have written it.
-  // It names no replica to send work to; requests in progress there go on,
-  // because nothing says that the replica ended.
+  // The row of that name cannot be parsed; another writer may have written it.
+  // The replica gets no new work. Requests in progress there continue, because
+  // the row does not show that the replica ended.
   void PutUnreadable(const std::string& name);
   void Remove(TimeUs now, const std::string& name);
-  // The whole list: what is neither in it nor among the unreadable names was
-  // removed.
+  // Replaces the complete list: rows that are neither in `entries` nor in
+  // `unreadable` were removed.
   void Replace(TimeUs now,
                const std::vector<ReplicaEntry>& entries,
                const std::vector<std::string>& unreadable);
-  // The store did not answer what it was asked at `asked_at`, or it answers
-  // again.
+  // The store did not answer a request that was sent at `asked_at`.
   void OnStoreLost(TimeUs asked_at);
+  // The store answers.
   void OnStoreBack(TimeUs now);
-  // See `kBackWithin`; the time counts from when the store was last asked in
-  // vain.
+  // Limits how long entries are kept after their rows were removed, counted
+  // from the last request that the store did not answer.
   void SetMostKept(DurationUs most_kept) { most_kept_ = most_kept; }
-  // Every row up to what the store held at `known_at` was given.
+  // The directory reflects the store's list as of `known_at`.
   void OnCurrent(TimeUs known_at);
-  // Lets go of entries that were kept for the outage; call it every 10 ms.
+  // Removes entries whose retention has ended; call it every 10 ms.
   void OnTick(TimeUs now);
 
-  // No new work goes to replicas in the failure domain, those listed later
-  // included, until it is taken back.
+  // Stops new work for replicas in the failure domain, also for those listed
+  // later, until `TakeBack`.
   void Evacuate(const std::string& domain);
   void TakeBack(TimeUs now, const std::string& domain);
   bool IsEvacuated(const std::string& domain) const {
     return evacuated_.contains(domain);
   }
-  // Entries in the failure domain.
+  // Returns the number of entries in the failure domain.
   std::size_t CountIn(std::string_view domain) const;
 
-  // Entries that take new work.
+  // Returns the entries of the service that accept new work.
   const std::vector<const ReplicaEntry*>& Of(std::string_view service) const;
-  // Null when it is gone.
+  // Returns null when that incarnation is not listed.
   const ReplicaEntry* Find(const ReplicaId& id) const;
-  // The replica that made a result, whose handle begins with the replica's
-  // address and a slash; null when none is listed there.
+  // Returns the replica that produced a result, by the result's handle, which
+  // begins with the replica's address and a slash. Null when no replica with
+  // that address is listed.
   const ReplicaEntry* MakerOf(std::string_view handle) const;
   bool TakesWork(const ReplicaId& id) const;
   std::size_t size() const { return entries_.size(); }
-  // How old the list is; negative: nothing was told yet.
+  // Returns the age of the list; negative: the list has not been read yet.
   DurationUs Age(TimeUs now) const {
     return known_at_ < 0 ? known_at_ : now - known_at_;
   }
@@ -157,60 +166,71 @@
  private:
   struct Row {
     ReplicaEntry entry;
-    std::string address;  // As handles of its results begin.
+    std::string address;  // Prefix of the handles of its results.
     bool unreadable = false;
-    std::uint64_t added = 0;   // Rises with each life that is listed.
-    bool taking = false;       // Whether its service's list has it,
-    std::size_t position = 0;  // and where.
+    std::uint64_t added = 0;   // Order in which incarnations were listed.
+    bool eligible = false;     // Whether it is in `ServiceRows::eligible`.
+    std::size_t position = 0;  // Index there, if it is.
   };
   struct ServiceRows {
-    std::vector<const ReplicaEntry*> taking;  // Entries that take new work.
-    std::vector<Row*> rows;                   // The same, in the same order.
-    std::size_t lives_told = 0;  // Of all its rows, those that tell it.
-    absl::flat_hash_set<Row*> untold;
+    // Entries that accept new work, and their rows in the same order.
+    std::vector<const ReplicaEntry*> eligible;
+    std::vector<Row*> rows;
+    // Number of the service's rows that state their incarnation, and the rows
+    // that do not.
+    std::size_t lives_told = 0;
+    absl::flat_hash_set<Row*> without_incarnation;
   };
   struct Ended {
     Incarnation life = 0;
-    bool left = false;  // Said that it leaves, which is for good.
-    TimeUs at = 0;
+    bool left = false;  // Announced that it leaves, which is final.
+    TimeUs at = 0;      // When the incarnation's entry was removed.
   };
   using Rows = absl::node_hash_map<std::string, Row>;
 
-  // Whether the row is of a life that is over; what is known may say that a
-  // life that is listed again was leaving.
-  bool PassedOver(ReplicaEntry* entry) const;
-  void List(const ReplicaEntry& entry);
-  void TellAdded(const ReplicaEntry& entry);
+  // Compares a row with the last ended incarnation of its name. Returns true if
+  // the row is of an earlier one. Marks `entry` as leaving if it is of the same
+  // one and that had announced that it leaves.
+  bool ApplyEnded(ReplicaEntry* entry) const;
+  // Inserts or replaces the entry of that name.
+  void Insert(const ReplicaEntry& entry);
+  void NotifyAdded(const ReplicaEntry& entry);
   void Update(Row* row, const ReplicaEntry& entry);
   void Restart(const ReplicaEntry& known, const ReplicaEntry& entry);
   void Erase(TimeUs now, Rows::iterator it);
-  // Between the two a row's service, address and life may change.
+  // A row's service, address and incarnation may change only while the row is
+  // not in the indexes.
   void AddToIndexes(Row* row);
   void RemoveFromIndexes(Row* row);
-  // Adds it to those that take work, or removes it, as it is now.
-  void Place(Row* row);
-  void Unplace(Row* row);
-  // Whether new work may go there. An entry that tells no start, among others
-  // of its service that do, is another writer's.
-  bool Takes(const Row& row) const;
-  // Null when that life is not listed.
+  // Adds the row to its service's eligible entries, or removes it from them,
+  // according to `IsEligible`.
+  void UpdateEligible(Row* row);
+  void RemoveFromEligible(Row* row);
+  // Whether the replica accepts new work. An entry without an incarnation, in a
+  // service with entries that have one, must be from another writer and is not
+  // eligible.
+  bool IsEligible(const Row& row) const;
+  // Returns null when that incarnation is not listed.
   const Row* RowOf(const ReplicaId& id) const;
 
   DirectoryWatcher* const watcher_;
   Rows entries_;
   absl::flat_hash_set<std::string> evacuated_;  // Failure domains.
-  absl::flat_hash_set<std::string> missing_;    // Names kept for an outage.
-  std::map<std::string, Ended> ended_;
-  TimeUs forget_ended_at_ = 0;
-  std::uint64_t added_ = 0;
+  // Names of entries that are kept although their rows were removed.
+  absl::flat_hash_set<std::string> missing_;
+  std::map<std::string, Ended> ended_;  // By name, the last to end.
+  TimeUs next_ended_cleanup_at_ = 0;
+  std::uint64_t added_ = 0;  // Incarnations listed so far.
   absl::node_hash_map<std::string, ServiceRows> services_;
-  // Usually one row an address; see `MakerOf`.
+  // Usually one row per address; see `MakerOf`.
   absl::flat_hash_map<std::string, std::vector<Row*>> by_address_;
   TimeUs known_at_ = -1;
   bool store_lost_ = false;
-  TimeUs store_lost_at_ = 0;  // Asked in vain then.
-  DurationUs most_kept_ = kBackWithin;
-  TimeUs keep_until_ = 0;  // Vanished entries, after an outage.
+  // When the last request was sent that the store did not answer.
+  TimeUs store_lost_at_ = 0;
+  DurationUs most_kept_ = kRelistTime;
+  // After an outage: entries whose rows were removed are kept until then.
+  TimeUs keep_until_ = 0;
 };
 
 }  // namespace acaciachute
--- a/src/state/replica_health.h
+++ b/src/state/replica_health.h
@@ -1,10 +1,11 @@
-// How far a replica is trusted, by what became of recent calls to it.
+// Tracks the health of a replica by the outcomes of recent calls to it.
 //
-// Load pattern: one upstream of nine fails fast, or its process is gone. It has
-// the least work in progress of all, so without this the better of several
-// samples is always the broken one and it draws in the whole load. Its score is
-// raised in proportion to its recent failures; past `kShunAt` it is left out
-// but for one idempotent call every `kProbeEvery`, which brings it back.
+// A replica that fails fast has the least work in progress of its pool, so load
+// balancing by work in progress alone would send it most of the calls. Its
+// expected time is therefore multiplied by a penalty that grows with its share
+// of recent failures. Once that share reaches `kExclusionThreshold`, the
+// replica is excluded, except for one idempotent call every `kProbeEvery`,
+// whose success lets it return.
 #ifndef ACACIACHUTE_SRC_STATE_REPLICA_HEALTH_H_
 #define ACACIACHUTE_SRC_STATE_REPLICA_HEALTH_H_
 
@@ -14,26 +15,28 @@
 
 class ReplicaHealth {
  public:
-  // Newest call's weight. A replica that breaks every call is shunned after
-  // three, one that breaks a twentieth of them never is.
+  // Weights of the newest call in the moving average of failures. A replica
+  // that fails every call is excluded after three calls; one that fails 5 % of
+  // its calls is never excluded.
   static constexpr double kFailureWeight = 0.25;
   static constexpr double kSuccessWeight = 0.25;
-  static constexpr double kShunAt = 0.5;
-  // One call in half a second is under 1 % of a replica's rate at today's
-  // sizes, and brings a mended replica back within two seconds.
+  // Failure rate from which a replica is excluded.
+  static constexpr double kExclusionThreshold = 0.5;
+  // Period of probes of an excluded replica. Two calls per second are under 1 %
+  // of a replica's present rate, and a repaired replica returns within 2 s.
   static constexpr DurationUs kProbeEvery = 500 * kMillisecond;
 
-  // A pool that only gets calls that may not be repeated has no probes; there a
-  // shunned replica is taken for sound again after ten probes' time.
+  // A pool that receives only calls that must not be repeated has no probes.
+  // There an excluded replica gets calls again after the time of ten probes.
   static constexpr DurationUs kTrustAgainAfter = 10 * kProbeEvery;
 
-  void OnSuccess() { failing_ -= failing_ * kSuccessWeight; }
+  void OnSuccess() { failure_rate_ -= failure_rate_ * kSuccessWeight; }
   void OnFailure(TimeUs now) {
-    failing_ += (1 - failing_) * kFailureWeight;
+    failure_rate_ += (1 - failure_rate_) * kFailureWeight;
     next_probe_ = now + kProbeEvery;
   }
-  // Its connection broke, or a message to it could not leave: nothing goes
-  // there until it is heard of again.
+  // The connection to the replica broke, or a message to it could not be sent.
+  // The replica gets no calls until its next report (`OnHeard`).
   void OnUnreachable() { unreachable_ = true; }
   void OnHeard() { unreachable_ = false; }
 
@@ -41,22 +44,25 @@
     if (unreachable_) {
       return false;
     }
-    const TimeUs again =
+    const TimeUs retry_at =
         may_probe ? next_probe_ : next_probe_ - kProbeEvery + kTrustAgainAfter;
-    return failing_ < kShunAt || now >= again;
+    return failure_rate_ < kExclusionThreshold || now >= retry_at;
   }
   bool reachable() const { return !unreachable_; }
-  bool shunned() const { return unreachable_ || failing_ >= kShunAt; }
+  bool shunned() const {
+    return unreachable_ || failure_rate_ >= kExclusionThreshold;
+  }
   bool probing(TimeUs now) const {
-    return !unreachable_ && failing_ >= kShunAt && now >= next_probe_;
+    return !unreachable_ && failure_rate_ >= kExclusionThreshold &&
+           now >= next_probe_;
   }
   void OnProbe(TimeUs now) { next_probe_ = now + kProbeEvery; }
-  // Factor on the expected time, one for a sound replica: the expected number
-  // of tries until one succeeds.
-  double Penalty() const { return 1 / (1 - failing_); }
+  // Factor on the expected time of a call: the expected number of attempts
+  // until one succeeds. It is one for a healthy replica.
+  double Penalty() const { return 1 / (1 - failure_rate_); }
 
  private:
-  double failing_ = 0;
+  double failure_rate_ = 0;
   TimeUs next_probe_ = 0;
   bool unreachable_ = false;
 };
--- a/src/state/replica_table.h
+++ b/src/state/replica_table.h
@@ -1,5 +1,5 @@
-// What an entry believes of each replica: its settings address, what its
-// sidecar reported last, and the entry's own work in progress there.
+// An entry's view of each replica: its address from the settings, the last
+// report of its sidecar, and the entry's own work in progress there.
 #ifndef ACACIACHUTE_SRC_STATE_REPLICA_TABLE_H_
 #define ACACIACHUTE_SRC_STATE_REPLICA_TABLE_H_
 
@@ -15,14 +15,15 @@
 
 namespace acaciachute {
 
-// What a pool's sums hold of one replica, to be taken out before the next.
+// A replica's contribution to the sums of its pool (`PoolLoad`). It is kept so
+// that it can be subtracted when the replica's next report is added.
 struct ReplicaLoad {
   std::int64_t slots = 0;
-  std::int64_t known_slots = 0;
-  std::int64_t rate = 0;
-  std::int64_t others = 0;
+  std::int64_t known_slots = 0;  // `slots`, if the service time is known.
+  std::int64_t rate = 0;         // Scaled calls per second; see `PoolLoad`.
+  std::int64_t others = 0;       // Calls of other entries.
   std::int64_t others_urgent = 0;
-  std::int64_t own = 0;
+  std::int64_t own = 0;  // Calls of this entry.
   std::int64_t own_urgent = 0;
 };
 
@@ -32,21 +33,21 @@
   Incarnation incarnation = 0;
   NodeState state = NodeState::kStarting;
   LoadReport load;
-  TimeUs heard_at = 0;
-  std::uint32_t own_in_progress = 0;
-  std::uint32_t own_urgent = 0;  // Of those.
-  // Of the same two, when the last report came.
+  TimeUs heard_at = 0;                // When the last report arrived.
+  std::uint32_t own_in_progress = 0;  // Calls of this entry.
+  std::uint32_t own_urgent = 0;       // Urgent calls among them.
+  // The values of the previous two when the last report arrived.
   std::uint32_t own_at_report = 0;
   std::uint32_t own_urgent_at_report = 0;
   ReplicaLoad counted;
-  bool in_subset = false;  // Of this entry's part of the pool.
+  bool in_subset = false;  // Whether this entry sends calls to the replica.
   ReplicaHealth health;
-  DurationUs latency = 0;  // Moving mean of answers to this entry.
+  DurationUs latency = 0;  // Moving average of the answer times seen here.
 
   bool TakesWork() const {
     return state == NodeState::kReady && incarnation != 0;
   }
-  // Calls of other entries there, waiting or running.
+  // Calls of other entries at the replica, queued or in progress.
   std::uint32_t OthersWork() const {
     const auto all = load.queued + load.in_progress;
     return all > own_at_report ? all - own_at_report : 0;
@@ -62,8 +63,8 @@
 
 class ReplicaTable {
  public:
-  // Takes over the pools of `settings`, keeping what is known of replicas that
-  // stay.
+  // Replaces the replicas by those in the pools of `settings`. The state of
+  // replicas that remain is kept.
   void Apply(const Settings& settings);
 
   Replica* Find(std::string_view node);
--- a/src/state/serving_config.h
+++ b/src/state/serving_config.h
@@ -1,5 +1,5 @@
-// The configuration that entries serve under: routes, services, client accounts
-// and limits, of one version.
+// One version of the configuration by which gateways serve requests: routes,
+// services, client accounts and limits.
 #ifndef ACACIACHUTE_SRC_STATE_SERVING_CONFIG_H_
 #define ACACIACHUTE_SRC_STATE_SERVING_CONFIG_H_
 
@@ -17,7 +17,7 @@
 
 namespace acaciachute {
 
-// What may be repeated on a route.
+// Determines whether requests on a route may be retried.
 enum class RouteKind { kIdempotent, kNonIdempotent, kStream };
 inline constexpr std::array<std::string_view, 3> kRouteKindNames = {
     "idempotent", "non_idempotent", "stream"};
@@ -30,31 +30,31 @@
   std::uint32_t weight = 0;
 };
 
-// Work that must be done before a request may run.
+// A stage whose results a request needs before it is sent to an engine.
 struct StageSpec {
   std::string service;
-  std::vector<std::uint32_t> after;  // Numbers of the stages it needs.
-  std::uint64_t result_bytes = 0;    // Of one piece; approximate.
+  std::vector<std::uint32_t> after;  // Indexes of the stages that it needs.
+  std::uint64_t result_bytes = 0;    // Approximate size of a piece's result.
 };
 
 struct Route {
   std::string name;
   std::string host;
-  std::string prefix;  // Begins and ends with a slash.
+  std::string prefix;  // Path prefix; begins and ends with a slash.
   RouteKind kind = RouteKind::kNonIdempotent;
   DurationUs timeout = 0;
-  DurationUs target = 0;       // Answers within it are on time.
-  DurationUs pause = 0;        // Between events of a stream that is on time.
+  DurationUs target = 0;       // Target latency.
+  DurationUs pause = 0;        // Target for the gap between stream events.
   std::uint32_t priority = 0;  // Zero is the most urgent.
   std::vector<WeightedService> split;
   std::uint32_t max_attempts = 1;
   std::vector<StageSpec> stages;
-  bool anonymous = false;  // Needs no key.
-  bool resumable = false;  // A broken stream may go on at another replica.
+  bool anonymous = false;  // Requests need no key.
+  bool resumable = false;  // A broken stream may continue at another replica.
 
-  // How long a client waits for the first event of a stream, as the platform
-  // states it: two seconds, four times the target or eight pauses, whichever is
-  // longest.
+  // Time that clients wait for the first event of a stream. The platform
+  // defines it as the longest of two seconds, four times the target and eight
+  // pauses.
   DurationUs FirstEventPatience() const {
     return std::max({2 * kSecond, 4 * target, 8 * pause});
   }
@@ -65,15 +65,15 @@
   }
 };
 
-// A service that makes the pieces of stages.
+// Limits of a service that computes the pieces of stages in batches.
 struct BatchLimits {
   std::uint32_t slots = 1;       // Calls in progress at one replica.
-  std::uint32_t queue = 0;       // Calls that may wait there.
-  std::uint32_t batch = 1;       // Pieces a call.
-  DurationUs call = 0;           // Time of a call, whatever it holds.
-  DurationUs piece = 0;          // Time that each piece adds.
-  std::uint64_t room_bytes = 0;  // For results, at one replica.
-  DurationUs result_life = 0;
+  std::uint32_t queue = 0;       // Calls that may wait at one replica.
+  std::uint32_t batch = 1;       // Maximum number of pieces per call.
+  DurationUs call = 0;           // Fixed part of a call's duration.
+  DurationUs piece = 0;          // Time that each piece adds to it.
+  std::uint64_t room_bytes = 0;  // Memory for results at one replica.
+  DurationUs result_life = 0;    // A replica deletes its results after this.
 };
 
 struct EngineLimits {
@@ -84,20 +84,20 @@
 
 struct Service {
   std::string name;
-  std::uint32_t max_connections = 0;  // From all callers, to one replica.
+  std::uint32_t max_connections = 0;  // To one replica, from all gateways.
   std::optional<EngineLimits> engine;
   std::optional<BatchLimits> batching;
   DurationUs cold_start = 0;  // A replica is cold for this long after a start.
-  // Requests a second that a cold replica stands; zero: as many as any other.
+  // Requests per second that a cold replica can handle; zero: no limit.
   double cold_rate = 0;
 };
 
-// What a client may send.
+// Limits on clients' requests and connections.
 struct ClientLimits {
   std::uint64_t head_bytes = 16 << 10;
   std::uint64_t body_bytes = 4 << 20;
-  DurationUs head_time = 3 * kSecond;
-  DurationUs idle_time = 15 * kSecond;
+  DurationUs head_time = 3 * kSecond;   // To receive a request head.
+  DurationUs idle_time = 15 * kSecond;  // Of a connection without a request.
 };
 
 struct ClientAccount {
@@ -115,11 +115,11 @@
   void AddService(Service service);
   void AddAccount(ClientAccount account, const std::vector<std::string>& keys);
 
-  // The route of that host with the longest prefix that begins the path; null
-  // when none does. A port in `host` and a query in `target` do not count.
+  // Returns the route of the host with the longest prefix that matches the path
+  // of `target`, or null. A port in `host` and a query in `target` are ignored.
   const Route* FindRoute(std::string_view host, std::string_view target) const;
   const Service* FindService(std::string_view name) const;
-  // The account that holds `key`; null for an unknown key.
+  // Returns the account with this key, or null for an unknown key.
   const ClientAccount* FindAccount(std::string_view key) const;
   std::size_t routes() const { return routes_; }
   const absl::flat_hash_map<std::string, Service>& services() const {
@@ -128,7 +128,7 @@
 
  private:
   std::size_t routes_ = 0;
-  // By lower-case host, longest prefix first.
+  // Routes by lower-case host name, the longest prefix first.
   absl::flat_hash_map<std::string, std::vector<Route>> by_host_;
   absl::flat_hash_map<std::string, Service> services_;
   std::vector<std::unique_ptr<ClientAccount>> accounts_;
--- a/src/state/settings.cc
+++ b/src/state/settings.cc
@@ -13,8 +13,8 @@
 
 constexpr std::int64_t kMaxDeadlineMs = 600'000;
 
-// Reads typed members out of one JSON object and keeps the first error with
-// the path of the value it found wrong.
+// Reads typed members of a JSON object. Keeps the first error, with the path of
+// the invalid value.
 class Reader {
  public:
   Reader(const Json& object, std::string path, std::string* error)
@@ -46,7 +46,7 @@
     }
     if (!it->is_number_integer() || it->get<std::int64_t>() < low ||
         it->get<std::int64_t>() > high) {
-      Fail(key, StrCat("a whole number from ", low, " to ", high), *it);
+      Fail(key, StrCat("an integer from ", low, " to ", high), *it);
       return fallback;
     }
     return it->get<std::int64_t>();
@@ -219,7 +219,7 @@
   const Json value = Json::parse(json, nullptr, false);
   if (value.is_discarded()) {
     return absl::InvalidArgumentError(
-        StrCat("branch ", name, ": no valid JSON"));
+        StrCat("branch ", name, ": invalid JSON"));
   }
   Branch branch;
   branch.name = name;
--- a/src/state/span.h
+++ b/src/state/span.h
@@ -1,5 +1,5 @@
-// A trace span: one hop of one request. Times are on the local monotonic clock;
-// the exporter adds the offset to wall-clock time.
+// A trace span: one step of processing a request. Times are on the local
+// monotonic clock; the exporter adds the offset to wall-clock time.
 #ifndef ACACIACHUTE_SRC_STATE_SPAN_H_
 #define ACACIACHUTE_SRC_STATE_SPAN_H_
 
@@ -30,7 +30,7 @@
   std::vector<std::pair<std::string, std::string>> attributes;
 };
 
-// "00-<32 hex>-<16 hex>-01", as W3C Trace Context has it.
+// Format "00-<32 hex digits>-<16 hex digits>-01" of W3C Trace Context.
 std::string FormatTraceparent(const TraceContext& context);
 std::optional<TraceContext> ParseTraceparent(std::string_view text);
 
--- a/src/state/store.h
+++ b/src/state/store.h
@@ -1,4 +1,4 @@
-// What the core asks of the platform's table and what it may learn.
+// Transactions on the platform's table, and their possible outcomes.
 #ifndef ACACIACHUTE_SRC_STATE_STORE_H_
 #define ACACIACHUTE_SRC_STATE_STORE_H_
 
@@ -10,8 +10,9 @@
 
 enum class StoreOpKind { kRead, kScan, kInsert, kUpdate };
 
-// One step of a transaction. `kInsert` holds when the row is absent, `kUpdate`
-// when it stands at `version`; `kScan` reads every row under the key prefix.
+// One operation of a transaction. `kInsert` requires that the row is absent,
+// and `kUpdate` that its version is `version`. `kScan` reads every row whose
+// key begins with `key`.
 struct StoreOp {
   StoreOpKind kind = StoreOpKind::kRead;
   std::string key;
@@ -25,12 +26,13 @@
   std::uint64_t version = 0;  // Zero: there is no such row.
 };
 
-// `kUnknown` is the dangerous one: no answer came, the write may stand or may
-// still land. `kUnavailable` says that the platform refused before any effect.
+// `kUnknown`: no answer was received, so the write may have been applied or may
+// still be applied later. `kUnavailable`: the platform refused the transaction
+// and nothing was written.
 enum class StoreStatus { kOk, kConflict, kUnavailable, kUnknown };
 
-// All steps of a transaction hold, or none does. On `kConflict`, `rows` has
-// the current row of each step that did not hold.
+// Transactions are atomic. On `kConflict` no operation was applied, and `rows`
+// has the current row of each operation whose condition failed.
 struct StoreAnswer {
   StoreStatus status = StoreStatus::kUnknown;
   std::vector<StoreRow> rows;
--- a/src/state/table_rows.h
+++ b/src/state/table_rows.h
@@ -1,4 +1,4 @@
-// Rows of the store's tables, and answers to questions for them.
+// Rows of the store's tables, and answers to requests for them.
 #ifndef ACACIACHUTE_SRC_STATE_TABLE_ROWS_H_
 #define ACACIACHUTE_SRC_STATE_TABLE_ROWS_H_
 
@@ -21,20 +21,21 @@
 struct TableAnswer {
   enum class Kind {
     kRows,
-    kHistoryGone,  // Changes since that version are no longer kept.
+    kHistoryGone,  // The store no longer has all changes since that version.
     kFailed,
-    kStoreLost,  // From another gateway: it does not reach the store either.
+    kStoreLost,  // Another gateway answered that it cannot reach the store.
   };
   Kind kind = Kind::kFailed;
   std::vector<TableRow> rows;
-  bool truncated = false;     // More rows follow the last key.
-  std::uint64_t version = 0;  // Of the whole store.
-  std::string why;            // When failed.
-  // The store's steady clock when it answered, if it told.
+  bool truncated = false;     // There are more rows after the last key.
+  std::uint64_t version = 0;  // Version of the store, not of one table.
+  std::string why;            // The reason, if the request failed.
+  // The store's monotonic clock when it answered, if the answer has it.
   std::optional<TimeUs> store_time;
-  // The rows are all that the store held at this time after the question was
-  // sent, by the asker's clock; negative when whoever answers knew it before.
-  // None: there was no news, and nothing says how old that is.
+  // The time up to which the answer reflects the store, relative to when the
+  // request was sent, by the requester's clock. It is negative if the answering
+  // gateway had its rows from before the request. Nullopt: the answer reports
+  // no changes and does not confirm any later time.
   std::optional<DurationUs> known_after = 0;
 };
 
--- a/src/text.h
+++ b/src/text.h
@@ -1,5 +1,5 @@
-// Small helpers for text. Abseil's own take `absl::string_view`, which in
-// Debian's build is another type than `std::string_view`.
+// String helpers. They replace Abseil's, which take `absl::string_view`: in
+// Debian's build of Abseil that is a different type from `std::string_view`.
 #ifndef ACACIACHUTE_SRC_TEXT_H_
 #define ACACIACHUTE_SRC_TEXT_H_
 
@@ -25,7 +25,7 @@
 
 }  // namespace detail
 
-// Joins texts and numbers.
+// Concatenates strings and numbers.
 template <typename... Parts>
 std::string StrCat(const Parts&... parts) {
   std::string out;
@@ -44,7 +44,7 @@
   return parts;
 }
 
-// Whether `text` started with `prefix`, which is then cut off.
+// Removes `prefix` from the start of `text`. Returns whether it was there.
 inline bool ConsumePrefix(std::string_view* text, std::string_view prefix) {
   if (!text->starts_with(prefix)) {
     return false;
@@ -57,7 +57,7 @@
   return text.find(part) != std::string_view::npos;
 }
 
-// Without spaces and tabs at either end.
+// Returns `text` without leading and trailing spaces and tabs.
 inline std::string_view Trim(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) {
     text.remove_prefix(1);
@@ -68,7 +68,7 @@
   return text;
 }
 
-// The decimal number that is all of `text`; none when it is anything else.
+// Parses `text` as a decimal number. Returns nullopt unless all of it is one.
 template <typename T>
 std::optional<T> ParseNumber(std::string_view text) {
   T value = 0;
@@ -80,7 +80,7 @@
   return value;
 }
 
-// In any case of ASCII letters.
+// Compares two strings, ignoring the case of ASCII letters.
 inline bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   const auto lower = [](char c) {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
--- a/src/types.h
+++ b/src/types.h
@@ -1,5 +1,5 @@
-// The small vocabulary shared by every layer: identifiers, units, the enums
-// with their name tables, and the verdict.
+// Basic types shared by every layer: identifiers, units of time, and enums with
+// the tables of their names on the wire and in logs.
 #ifndef ACACIACHUTE_SRC_TYPES_H_
 #define ACACIACHUTE_SRC_TYPES_H_
 
@@ -13,9 +13,9 @@
 
 namespace acaciachute {
 
-// Microseconds. `TimeUs` is a point on the local monotonic clock, which means
-// nothing to another node but for its differences (see
-// coordination/membership/message_age.h); `DurationUs` is a length.
+// Times and durations in microseconds. `TimeUs` is a point on the local
+// monotonic clock. Another node can use it only to compute differences between
+// times of the same sender (see coordination/membership/message_age.h).
 using TimeUs = std::int64_t;
 using DurationUs = std::int64_t;
 inline constexpr DurationUs kMillisecond = 1000;
@@ -24,24 +24,26 @@
 // Name of a node as the settings give it, such as "entry-1".
 using NodeId = std::string;
 
-// Drawn at random when a process starts. Two processes that follow one another
-// under the same NodeId differ in it; zero stands for "not known yet".
+// Identifies one run of a process. It is drawn at random at the start, so that
+// successive processes with the same NodeId can be told apart. Zero: not known
+// yet.
 using Incarnation = std::uint64_t;
 
-// Where a process listens.
+// The IP address and port on which a process listens.
 struct Address {
   std::string ip;
-  std::uint16_t port = 0;  // Zero: the system chooses.
+  std::uint16_t port = 0;  // Zero: the operating system chooses.
   auto operator<=>(const Address&) const = default;
 };
 
-// One request of a client, until its answer is complete or the client is gone.
+// Identifies one client request at the HTTP listener, until its answer is
+// complete or the client has disconnected.
 using ExchangeId = std::uint64_t;
 
-// A call to a replica or to the platform; zero is none.
+// Identifies an outgoing call to a replica or to the platform; zero: no call.
 using CallId = std::uint64_t;
 
-// Version of a settings branch; grows by one with each accepted change.
+// Version of a settings branch; each accepted change increments it by one.
 using SettingsVersion = std::uint64_t;
 
 // Fencing number of a lease; a larger one supersedes every smaller one.
@@ -54,8 +56,8 @@
   auto operator<=>(const RequestId&) const = default;
 };
 
-// One try of one stage of one request. A result that carries another key than
-// the try in progress belongs to somebody else and is dropped.
+// Identifies one attempt to run one stage of a request. A result whose key
+// differs from that of the attempt in progress is stale and is dropped.
 struct StageKey {
   RequestId request;
   std::uint32_t stage = 0;
@@ -102,7 +104,8 @@
   return detail::NameIn(kRoleNames, v);
 }
 
-// How long a caller can wait. Urgent work is never queued behind patient work.
+// The caller's tolerance of latency. Urgent work is never queued behind patient
+// work.
 enum class CallerClass { kUrgent, kPatient };
 inline constexpr std::array<std::string_view, 2> kCallerClassNames = {
     "urgent", "patient"};
@@ -117,8 +120,8 @@
   return detail::NameIn(kStageKindNames, v);
 }
 
-// Whether a request may have run. `kNotRun` is a promise: nothing of the stage
-// in question reached an upstream and nothing will.
+// Whether a request may have run. `kNotRun` is a guarantee: no call for the
+// stage in question has reached an upstream, and none will.
 enum class Verdict { kAnswered, kNotRun, kMayHaveRun };
 inline constexpr std::array<std::string_view, 3> kVerdictNames = {
     "answered", "not_run", "may_have_run"};
@@ -126,8 +129,9 @@
   return detail::NameIn(kVerdictNames, v);
 }
 
-// What a node says of itself. Leaving is a state of its own: the node is
-// healthy, finishes what it has, and takes nothing new.
+// State of a node. Nodes report the first three of themselves; `kSuspect` and
+// `kDead` are assigned by others. A node in `kLeaving` is healthy: it finishes
+// the work in progress and accepts no new work.
 enum class NodeState { kStarting, kReady, kLeaving, kSuspect, kDead };
 inline constexpr std::array<std::string_view, 5> kNodeStateNames = {
     "starting", "ready", "leaving", "suspect", "dead"};
@@ -135,8 +139,8 @@
   return detail::NameIn(kNodeStateNames, v);
 }
 
-// What is held against a request that was in progress when an upstream died.
-// In the order in which one outranks another.
+// State of a request that was in progress when an upstream crashed, in
+// increasing order of severity.
 enum class Standing { kClear, kSuspect, kConvicted };
 inline constexpr std::array<std::string_view, 3> kStandingNames = {
     "clear", "suspect", "convicted"};
@@ -144,7 +148,8 @@
   return detail::NameIn(kStandingNames, v);
 }
 
-// Why a request was refused or failed. `kRefusals` gives each its HTTP status.
+// The reason why a request was refused or failed. `kRefusals` maps each to its
+// HTTP status.
 enum class Refusal {
   kNone,
   kMalformed,
@@ -172,7 +177,7 @@
   std::string_view name;
   int http_status;
   std::string_view title;
-  bool later_may_help;  // Whether the answer carries Retry-After.
+  bool later_may_help;  // Whether the response carries Retry-After.
 };
 
 inline constexpr std::array<RefusalInfo, 20> kRefusals = {{
@@ -204,13 +209,13 @@
   return Info(v).name;
 }
 
-// What an upstream reports of itself, always late by some amount; a node adds
-// its own work in progress to it.
+// Load of an upstream as it last reported it. The report is always delayed, so
+// a node that uses it adds the calls it has itself sent since.
 struct LoadReport {
   std::uint32_t queued = 0;
   std::uint32_t in_progress = 0;
-  std::uint32_t urgent = 0;  // Of both.
-  std::uint32_t limit = 0;
+  std::uint32_t urgent = 0;  // Urgent calls among `queued` and `in_progress`.
+  std::uint32_t limit = 0;   // Calls that may be in progress at once.
   std::uint32_t service_us = 0;  // Recent mean service time of one stage call.
   bool operator==(const LoadReport&) const = default;
 };
--- a/tests/gateway/replica_directory_model_test.cc
+++ b/tests/gateway/replica_directory_model_test.cc
@@ -1,8 +1,9 @@
-// Generated histories of rows against a naive version of the directory.
+// Property tests of `ReplicaDirectory` against a naive reference model.
 //
-// Rows of several lives of a few replicas come in any order, repeated, spoiled
-// and removed, with outages between. The naive version keeps every row that it
-// was ever given and works out from all of them who takes work.
+// Generated histories contain rows of several incarnations of a few replicas in
+// any order, repeated rows, unreadable rows, removals and outages. The model
+// stores everything that the rows stated by replica and incarnation, and
+// derives from that which replicas accept work.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -15,11 +16,11 @@
 namespace acaciachute {
 namespace {
 
-struct Quiet : DirectoryWatcher {
+struct NullWatcher : DirectoryWatcher {
   void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
 };
 
-enum class StepKind { kRow, kSpoiled, kRemoved };
+enum class StepKind { kRow, kUnreadable, kRemoved };
 
 struct Step {
   StepKind kind = StepKind::kRow;
@@ -32,10 +33,10 @@
   return "r" + std::to_string(replica);
 }
 
-// All that was said, by replica and life.
-class NaiveDirectory {
+// The reference model: state by replica and incarnation.
+class ModelDirectory {
  public:
-  void Take(const Step& step) {
+  void AddStep(const Step& step) {
     auto& it = replicas_[step.replica];
     switch (step.kind) {
       case StepKind::kRow:
@@ -44,24 +45,24 @@
         }
         it.newest = step.life;
         it.listed = true;
-        it.spoiled = false;
+        it.unreadable = false;
         if (step.leaving) {
           it.left.insert(step.life);
         }
         return;
-      case StepKind::kSpoiled:
-        it.spoiled = it.listed;
+      case StepKind::kUnreadable:
+        it.unreadable = it.listed;
         return;
       case StepKind::kRemoved:
         it.listed = false;
-        it.spoiled = false;
+        it.unreadable = false;
         return;
     }
   }
-  std::set<ReplicaId> TakeWork() const {
+  std::set<ReplicaId> EligibleReplicas() const {
     std::set<ReplicaId> out;
     for (const auto& [n, it] : replicas_) {
-      if (it.listed && !it.spoiled && !it.left.contains(it.newest)) {
+      if (it.listed && !it.unreadable && !it.left.contains(it.newest)) {
         out.insert({NameOf(n), it.newest});
       }
     }
@@ -72,7 +73,7 @@
   struct Replica {
     Incarnation newest = 0;
     bool listed = false;
-    bool spoiled = false;
+    bool unreadable = false;
     std::set<Incarnation> left;
   };
   std::map<int, Replica> replicas_;
@@ -80,8 +81,9 @@
 
 Step DrawStep() {
   Step step;
-  step.kind = *rc::gen::weightedElement<StepKind>(
-      {{6, StepKind::kRow}, {1, StepKind::kSpoiled}, {2, StepKind::kRemoved}});
+  step.kind = *rc::gen::weightedElement<StepKind>({{6, StepKind::kRow},
+                                                   {1, StepKind::kUnreadable},
+                                                   {2, StepKind::kRemoved}});
   step.replica = *rc::gen::inRange(0, 3);
   step.life = *rc::gen::inRange<Incarnation>(1, 5);
   step.leaving = *rc::gen::weightedElement<bool>({{3, false}, {1, true}});
@@ -99,7 +101,7 @@
       entry.leaving = step.leaving;
       directory->Put(entry);
       return;
-    case StepKind::kSpoiled:
+    case StepKind::kUnreadable:
       directory->PutUnreadable(name);
       return;
     case StepKind::kRemoved:
@@ -109,24 +111,24 @@
 }
 
 RC_GTEST_PROP(ReplicaDirectoryModelTest, AgreesWithTheNaiveVersion, ()) {
-  Quiet quiet;
-  ReplicaDirectory directory(&quiet);
-  NaiveDirectory naive;
+  NullWatcher watcher;
+  ReplicaDirectory directory(&watcher);
+  ModelDirectory model;
   const int steps = *rc::gen::inRange(1, 60);
   for (int n = 0; n < steps; ++n) {
     const Step step = DrawStep();
     Apply(&directory, step);
-    naive.Take(step);
-    std::set<ReplicaId> takes;
+    model.AddStep(step);
+    std::set<ReplicaId> eligible;
     for (const ReplicaEntry* it : directory.Of("s")) {
-      takes.insert(it->id);
+      eligible.insert(it->id);
     }
-    RC_ASSERT(takes == naive.TakeWork());
+    RC_ASSERT(eligible == model.EligibleReplicas());
   }
 }
 
-// Rows as other writers write them too: without the start of a life, with the
-// service or address of another replica.
+// Draws rows including those that other writers may write: without the start of
+// the incarnation, or with the service or address of another replica.
 ReplicaEntry DrawEntry() {
   ReplicaEntry entry;
   const Incarnation life = *rc::gen::inRange<Incarnation>(0, 4);
@@ -137,14 +139,14 @@
   return entry;
 }
 
-// What the indexes should hold, worked out anew from the entries themselves.
+// Expected contents of the indexes, computed from the entries themselves.
 struct Expected {
-  std::map<std::string, std::set<ReplicaId>> of;
+  std::map<std::string, std::set<ReplicaId>> offered;
   std::map<std::string, std::set<ReplicaId>> named;  // By address.
 };
 
-Expected WorkOut(const ReplicaDirectory& directory,
-                 const std::set<ReplicaId>& seen) {
+Expected ComputeExpected(const ReplicaDirectory& directory,
+                         const std::set<ReplicaId>& seen) {
   Expected expected;
   for (const ReplicaId& id : seen) {
     const ReplicaEntry* entry = directory.Find(id);
@@ -153,18 +155,18 @@
     }
     expected.named[entry->address.ip].insert(id);
     if (directory.TakesWork(id)) {
-      expected.of[entry->service].insert(id);
+      expected.offered[entry->service].insert(id);
     }
   }
   return expected;
 }
 
-// Indexes that are kept as rows come and go say the same as the rows: a replica
-// that a list keeps after its row is gone would get work, and one that a list
-// lost would never get any.
+// The incrementally updated indexes must agree with the rows. Otherwise a
+// replica that stays in an index after its row was removed would get work, and
+// one that is missing in an index would never get any.
 RC_GTEST_PROP(ReplicaDirectoryModelTest, IndexesFollowTheRows, ()) {
-  Quiet quiet;
-  ReplicaDirectory directory(&quiet);
+  NullWatcher watcher;
+  ReplicaDirectory directory(&watcher);
   std::set<ReplicaId> seen;
   const int steps = *rc::gen::inRange(1, 80);
   TimeUs now = 0;
@@ -193,28 +195,29 @@
         directory.Put(entry);
     }
     directory.OnTick(now);
-    const Expected expected = WorkOut(directory, seen);
+    const Expected expected = ComputeExpected(directory, seen);
     for (const std::string service : {"s", "t"}) {
-      std::set<ReplicaId> of;
+      std::set<ReplicaId> offered;
       for (const ReplicaEntry* it : directory.Of(service)) {
-        RC_ASSERT(of.insert(it->id).second);
+        RC_ASSERT(offered.insert(it->id).second);
       }
-      const auto want = expected.of.find(service);
-      RC_ASSERT(of == (want == expected.of.end() ? std::set<ReplicaId>()
-                                                 : want->second));
+      const auto expected_ids = expected.offered.find(service);
+      RC_ASSERT(offered == (expected_ids == expected.offered.end()
+                                ? std::set<ReplicaId>()
+                                : expected_ids->second));
     }
     for (const std::string ip : {"10.0.0.0", "10.0.0.1", "10.0.0.2"}) {
-      const ReplicaEntry* maker = directory.MakerOf(ip + ":80/result");
+      const ReplicaEntry* producer = directory.MakerOf(ip + ":80/result");
       const auto named = expected.named.find(ip);
-      RC_ASSERT((maker == nullptr) == (named == expected.named.end()));
-      if (maker == nullptr) {
+      RC_ASSERT((producer == nullptr) == (named == expected.named.end()));
+      if (producer == nullptr) {
         continue;
       }
-      RC_ASSERT(named->second.contains(maker->id));
+      RC_ASSERT(named->second.contains(producer->id));
       const bool any_takes = std::any_of(
           named->second.begin(), named->second.end(),
           [&](const ReplicaId& id) { return directory.TakesWork(id); });
-      RC_ASSERT(directory.TakesWork(maker->id) == any_takes);
+      RC_ASSERT(directory.TakesWork(producer->id) == any_takes);
     }
   }
 }
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -1,4 +1,5 @@
-// Which replicas take work while the store that lists them fails.
+// Tests which replicas accept work during outages of the store that lists them,
+// and after replicas restart.
 #include "state/replica_directory.h"
 
 #include <gtest/gtest.h>
@@ -31,9 +32,9 @@
   EXPECT_EQ(rig.changes.back(), "r gone");
 }
 
-// Callers go on being served when the store's outage lets entries of living
-// replicas lapse; one that is still missing two seconds after the return is
-// gone.
+// Guards against refusing requests because rows of running replicas expired
+// during an outage of the store. An entry whose row is still missing two
+// seconds after the store's return is removed.
 TEST(ReplicaDirectoryTest, KeepsEntriesThatLapsedInAnOutageForAWhile) {
   DirectoryRig rig;
   TimeUs now = 100 * kSecond;
@@ -46,14 +47,15 @@
   rig.directory.Replace(now, {}, {});
   EXPECT_EQ(rig.directory.Of("s").size(), 2U);
   rig.directory.Put(DirectoryRig::Entry("alive"));
-  now += ReplicaDirectory::kBackWithin;
+  now += ReplicaDirectory::kRelistTime;
   rig.directory.OnTick(now);
   ASSERT_EQ(rig.directory.Of("s").size(), 1U);
   EXPECT_EQ(rig.directory.Of("s")[0]->id, "alive");
 }
 
-// Guards against: a host that was cut off goes on with replicas that left, also
-// when it has reached the store for so long that it must know of them.
+// Guards against a host that was cut off and continues to send work to replicas
+// that left, after it has reached the store for longer than the time within
+// which it must know of that.
 TEST(ReplicaDirectoryTest, KeepsVanishedEntriesNoLongerThanTheOutageMayMatter) {
   DirectoryRig rig;
   TimeUs now = 100 * kSecond;
@@ -69,8 +71,8 @@
   EXPECT_TRUE(rig.directory.Of("s").empty());
 }
 
-// A replica that said that it leaves gets nothing new, in an outage too, and an
-// older row that is read late does not take that back.
+// A replica that announced that it leaves gets no new work, also during an
+// outage, and an older row that is read late does not revert that.
 TEST(ReplicaDirectoryTest, BelievesThatAReplicaLeavesForGood) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("r"));
@@ -89,8 +91,8 @@
   EXPECT_EQ(rig.directory.MakerOf("10.0.0.2:80/x"), nullptr);
 }
 
-// A replica that left is stopped, repaired and started again under its name.
-// It takes work again; what was known of the life before ends.
+// A replica leaves and is started again under the same name. The new
+// incarnation accepts work, and the previous one is no longer listed.
 TEST(ReplicaDirectoryTest, GivesWorkToAReplicaThatLeftAndStartedAgain) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -103,8 +105,8 @@
   EXPECT_EQ(rig.directory.Find({"r", 5}), nullptr);
 }
 
-// A row of a life that is over is read late, before and after the replica was
-// taken off the list: it brings nothing back and takes nothing away.
+// A row of an ended incarnation that is read late has no effect, neither before
+// nor after the replica's entry was removed.
 TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierLife) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
@@ -113,13 +115,13 @@
   rig.directory.Remove(0, "r");
   rig.directory.Put(DirectoryRig::Entry({"r", 5}));
   EXPECT_TRUE(rig.directory.Of("s").empty());
-  // The same life is listed again after an outage of the store.
+  // The same incarnation is listed again after an outage of the store.
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
   EXPECT_TRUE(rig.directory.TakesWork({"r", 6}));
 }
 
-// A replica leaves, its entry goes, and a row from before is read again: it
-// gets nothing new in that life.
+// A replica leaves, its entry is removed, and an earlier row of the same
+// incarnation is read again: that incarnation still gets no new work.
 TEST(ReplicaDirectoryTest, RemembersThatALifeLeftAfterItsEntryWent) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -130,8 +132,9 @@
   EXPECT_EQ(rig.directory.Of("s").size(), 1U);
 }
 
-// Another writer spoils a good entry. No new work goes there, the replica is
-// not taken for gone, and its next own row brings it back.
+// Another writer overwrites a replica's row with one that cannot be parsed. The
+// replica gets no new work but stays listed, and it gets work again after its
+// own next row.
 TEST(ReplicaDirectoryTest, SendsNothingNewToAnEntryThatCannotBeRead) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}));
@@ -146,8 +149,8 @@
                                                    "r readable"}));
 }
 
-// Replicas of a service tell when they started; an entry beside them that does
-// not is another writer's, whichever comes first.
+// In a service whose replicas state their start, an entry without a start must
+// be from another writer and is not used, whichever row is read first.
 TEST(ReplicaDirectoryTest, LeavesEntriesOutThatTellNoStartAmongThoseThatDo) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("foreign"));
@@ -175,13 +178,13 @@
   EXPECT_EQ(rig.changes.back(), "r added");
 }
 
-// A result's maker is found by its address. An entry by another writer that
-// names the same address does not take it over.
+// The replica that produced a result is found by its address. An entry of
+// another writer with the same address does not replace it.
 TEST(ReplicaDirectoryTest, FindsTheMakerAmongEntriesOfOneAddress) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("real"));
   ReplicaEntry foreign = DirectoryRig::Entry("a-foreign");
-  foreign.service = "unheard-of";
+  foreign.service = "unknown-service";
   rig.directory.Put(foreign);
   EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id.name, "real");
   rig.directory.Put(DirectoryRig::Entry("real", true));
