--- a/src/ctl/command.h
+++ b/src/ctl/command.h
@@ -1,4 +1,4 @@
-// What every command of acaciachutectl gets, and its exit codes.
+// Arguments and exit codes of the commands of acaciachutectl.
 #ifndef ACACIACHUTE_SRC_CTL_COMMAND_H_
 #define ACACIACHUTE_SRC_CTL_COMMAND_H_
 
@@ -14,16 +14,16 @@
 
 enum class ExitCode {
   kOk = 0,
-  kFailed = 1,       // Answered, but with a refusal or nothing found.
-  kUsage = 2,        // The command line or a file is wrong; nothing was sent.
-  kLostRace = 3,     // Another change won; nothing was written.
+  kFailed = 1,       // The request was refused, or nothing was found.
+  kUsage = 2,        // Invalid command line or file; nothing was sent.
+  kLostRace = 3,     // A concurrent change won; nothing was written.
   kUnavailable = 4,  // The platform or the entry does not answer.
-  kUnknown = 5,      // The change may have been accepted.
+  kUnknown = 5,      // It is not known whether the change was accepted.
   kNotOwner = 6,     // The branch belongs to another team.
 };
 
 struct Command {
-  // Words after the command's name.
+  // Positional arguments after the command's name.
   std::vector<std::string> words;
   OutputFormat format = OutputFormat::kTable;
   std::string platform_url;
@@ -36,13 +36,14 @@
   std::string key;
   std::string note;
   std::int64_t deadline_ms = 0;
-  SettingsVersion base = 0;  // Zero: the version found.
+  // Version that the change must replace; zero: the current one.
+  SettingsVersion base = 0;
   bool dry_run = false;
   bool stream = false;
 };
 
-// Prints one line on standard error.
-ExitCode Complain(ExitCode code, std::string_view text);
+// Prints an error message on standard error and returns `code`.
+ExitCode PrintError(ExitCode code, std::string_view text);
 
 struct CommandInfo {
   std::size_t min_words;
--- a/src/ctl/event_commands.cc
+++ b/src/ctl/event_commands.cc
@@ -1,4 +1,4 @@
-// `event create|list|show|delete`: events are members of a branch.
+// Commands `event create|list|show|delete`. Events are members of a branch.
 #include <nlohmann/json.hpp>
 
 #include "ctl/settings_access.h"
@@ -9,18 +9,20 @@
 
 using Json = nlohmann::json;
 
-// Reads the branch, lets `edit` change its events, writes it back on top of
-// the version that was read, so that a racing change is never undone.
+// Reads the branch, lets `edit` change its events, and writes the branch on the
+// condition that its version is still the one that was read, so that a
+// concurrent change is never overwritten.
 template <typename Edit>
 ExitCode EditEvents(const Command& command, Edit edit) {
   const auto branch = ReadBranch(command, command.words[0]);
   if (!branch.ok()) {
-    return ComplainUnavailable(branch.status());
+    return PrintReadError(branch.status());
   }
   Json body = branch->version == 0 ? Json{{"owner", command.team}}
                                    : Json::parse(branch->json, nullptr, false);
   if (!body.is_object()) {
-    return Complain(ExitCode::kFailed, "the branch is no JSON object");
+    return PrintError(ExitCode::kFailed,
+                      "the branch's row is not a JSON object");
   }
   if (const ExitCode code = edit(&body["events"]); code != ExitCode::kOk) {
     return code;
@@ -35,15 +37,16 @@
 ExitCode Create(const Command& command) {
   const auto text = ReadTextFile(command.file);
   if (!text.ok()) {
-    return Complain(ExitCode::kUsage, std::string(text.status().message()));
+    return PrintError(ExitCode::kUsage, std::string(text.status().message()));
   }
   const Json event = Json::parse(*text, nullptr, false);
   if (!event.is_object()) {
-    return Complain(ExitCode::kUsage, command.file + ": no JSON object");
+    return PrintError(ExitCode::kUsage, command.file + ": not a JSON object");
   }
   return EditEvents(command, [&](Json* events) {
     if (events->contains(command.words[1])) {
-      return Complain(ExitCode::kFailed, "there is such an event already");
+      return PrintError(ExitCode::kFailed,
+                        "an event of this name exists already");
     }
     (*events)[command.words[1]] = event;
     return ExitCode::kOk;
@@ -53,7 +56,7 @@
 ExitCode Delete(const Command& command) {
   return EditEvents(command, [&](Json* events) {
     if (!events->contains(command.words[1])) {
-      return Complain(ExitCode::kFailed, "there is no such event");
+      return PrintError(ExitCode::kFailed, "there is no such event");
     }
     events->erase(command.words[1]);
     return ExitCode::kOk;
@@ -71,7 +74,7 @@
 ExitCode List(const Command& command) {
   const auto branches = ReadBranches(command);
   if (!branches.ok()) {
-    return ComplainUnavailable(branches.status());
+    return PrintReadError(branches.status());
   }
   Json rows = Json::array();
   for (const auto& branch : *branches) {
@@ -94,7 +97,7 @@
 ExitCode Show(const Command& command) {
   const auto branches = ReadBranches(command);
   if (!branches.ok()) {
-    return ComplainUnavailable(branches.status());
+    return PrintReadError(branches.status());
   }
   for (const auto& branch : *branches) {
     if (branch.events.contains(command.words[0])) {
@@ -105,7 +108,7 @@
       return ExitCode::kOk;
     }
   }
-  return Complain(ExitCode::kFailed, "there is no such event");
+  return PrintError(ExitCode::kFailed, "there is no such event");
 }
 
 }  // namespace
--- a/src/ctl/gateway_commands.cc
+++ b/src/ctl/gateway_commands.cc
@@ -1,4 +1,5 @@
-// `gateway sources`: whom gateways ask for the store's tables.
+// Command `gateway sources`: prints from which source each gateway gets the
+// store's tables.
 #include <fstream>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -17,10 +18,10 @@
   std::ifstream file;
   std::istream* log = OpenLog(command.file, &file);
   if (log == nullptr) {
-    return Complain(ExitCode::kUsage, StrCat("cannot read ", command.file));
+    return PrintError(ExitCode::kUsage, StrCat("cannot read ", command.file));
   }
   Json rows = Json::array();
-  for (const SourceOf& it : SourcesFromLog(log)) {
+  for (const GatewaySource& it : SourcesFromLog(log)) {
     rows.push_back({{"table", it.table},
                     {"gateway", it.gateway},
                     {"asks", it.source},
@@ -30,7 +31,8 @@
                     {"why", it.why}});
   }
   if (rows.empty()) {
-    return Complain(ExitCode::kFailed, "no line tells of a table's source");
+    return PrintError(ExitCode::kFailed,
+                      "the log has no event=table_source of a running gateway");
   }
   PrintRows(
       command.format,
--- a/src/ctl/load_commands.cc
+++ b/src/ctl/load_commands.cc
@@ -1,4 +1,5 @@
-// `load explain`: where the requests of gateways' logs ended, and why.
+// Command `load explain`: summarizes the outcomes of the requests in gateways'
+// logs and their causes.
 #include <fstream>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -56,13 +57,13 @@
     std::ifstream file;
     std::istream* log = OpenLog(path, &file);
     if (log == nullptr) {
-      return Complain(ExitCode::kUsage, StrCat("cannot read ", path));
+      return PrintError(ExitCode::kUsage, StrCat("cannot read ", path));
     }
-    ForEachLogLine(log, [&](const Json& line) { reader.Take(line); });
+    ForEachLogLine(log, [&](const Json& line) { reader.AddLine(line); });
   }
   const LoadSummary summary = reader.Summary();
   if (summary.rows.empty() && summary.causes.empty()) {
-    return Complain(ExitCode::kFailed, "no line tells of a request");
+    return PrintError(ExitCode::kFailed, "the logs have no event of a request");
   }
   if (command.format == OutputFormat::kJson) {
     PrintObject(command.format, {{"requests", RowsOf(summary)},
@@ -87,9 +88,9 @@
 }  // namespace
 
 void AddLoadCommands(CommandTable* table) {
-  constexpr std::size_t kMostFiles = 10'000;
+  constexpr std::size_t kMaxLogFiles = 10'000;
   table->insert(
-      {{"load explain", {1, kMostFiles, "load explain LOG...", Explain}}});
+      {{"load explain", {1, kMaxLogFiles, "load explain LOG...", Explain}}});
 }
 
 }  // namespace acaciachute
--- a/src/ctl/load_summary.cc
+++ b/src/ctl/load_summary.cc
@@ -12,8 +12,8 @@
 
 using Json = nlohmann::json;
 
-// A figure of the line; zero when it is missing or negative.
-std::uint32_t FigureOf(const Json& line, const char* name) {
+// Returns a number of the line, or zero if it is missing or negative.
+std::uint32_t NumberOf(const Json& line, const char* name) {
   const auto it = line.find(name);
   if (it == line.end() || !it->is_number()) {
     return 0;
@@ -21,20 +21,20 @@
   return static_cast<std::uint32_t>(std::max(0.0, it->get<double>()));
 }
 
-// Figures differ from line to line; what was said is the same. Single digits
-// stay: they number stages and tries.
-std::string WithoutFigures(std::string_view text) {
+// Replaces numbers by "N", so that details that differ only in numbers count as
+// the same cause. Single digits stay, because they number stages and attempts.
+std::string WithoutNumbers(std::string_view text) {
   constexpr std::string_view kDigits = "0123456789";
   std::string out;
   while (!text.empty()) {
-    const std::size_t plain =
+    const std::size_t prefix =
         std::min(text.find_first_of(kDigits), text.size());
-    out += text.substr(0, plain);
-    text.remove_prefix(plain);
-    const std::size_t figure =
+    out += text.substr(0, prefix);
+    text.remove_prefix(prefix);
+    const std::size_t digits =
         std::min(text.find_first_not_of(kDigits), text.size());
-    out += figure > 1 ? std::string_view("N") : text.substr(0, figure);
-    text.remove_prefix(figure);
+    out += digits > 1 ? std::string_view("N") : text.substr(0, digits);
+    text.remove_prefix(digits);
   }
   return out;
 }
@@ -47,8 +47,8 @@
   const auto first = line.find("first_ms");
   const bool stream =
       first != line.end() && first->is_number() && first->get<double>() >= 0;
-  const std::uint32_t until = FigureOf(line, stream ? "first_ms" : "total_ms");
-  return until <= FigureOf(line, "target_ms") ? "in_time" : "late";
+  const std::uint32_t until = NumberOf(line, stream ? "first_ms" : "total_ms");
+  return until <= NumberOf(line, "target_ms") ? "in_time" : "late";
 }
 
 std::int64_t Quantile(std::vector<std::uint32_t> values, double share) {
@@ -65,48 +65,48 @@
 constexpr double kMedian = 0.5;
 constexpr double kP99 = 0.99;
 
-// Events that tell why work was refused, lost or done again.
+// Events that state why work was refused, lost or repeated.
 constexpr std::array<std::string_view, 6> kCauseEvents = {
     "refused",      "gave_up",      "lost",
     "stages_again", "pieces_again", "piece_call_failed"};
 
 }  // namespace
 
-void LoadReader::Take(const Json& line) {
+void LoadReader::AddLine(const Json& line) {
   const std::string event = TextOf(line, "event");
   if (event == "request") {
-    TakeRequest(line);
+    AddRequest(line);
   } else if (event == "piece_call") {
-    TakePieceCall(line);
+    AddPieceCall(line);
   } else if (std::find(kCauseEvents.begin(), kCauseEvents.end(), event) !=
              kCauseEvents.end()) {
-    TakeCause(line);
+    AddCause(line);
   }
 }
 
-void LoadReader::TakeRequest(const Json& line) {
+void LoadReader::AddRequest(const Json& line) {
   Group& group = groups_[{TextOf(line, "route"), TextOf(line, "admitted"),
                           OutcomeOf(line)}];
-  group.total_ms.push_back(FigureOf(line, "total_ms"));
-  group.expected_ms.push_back(FigureOf(line, "expected_wait_ms"));
+  group.total_ms.push_back(NumberOf(line, "total_ms"));
+  group.expected_ms.push_back(NumberOf(line, "expected_wait_ms"));
 }
 
-void LoadReader::TakePieceCall(const Json& line) {
+void LoadReader::AddPieceCall(const Json& line) {
   Stage& stage = stages_[TextOf(line, "service")];
   ++stage.calls;
-  stage.pieces += FigureOf(line, "pieces");
+  stage.pieces += NumberOf(line, "pieces");
   stage.most_waiting =
-      std::max<std::size_t>(stage.most_waiting, FigureOf(line, "left_waiting"));
+      std::max<std::size_t>(stage.most_waiting, NumberOf(line, "left_waiting"));
   const auto it = line.find("slowness");
   stage.slowness += it != line.end() && it->is_number() ? it->get<double>() : 0;
 }
 
-void LoadReader::TakeCause(const Json& line) {
+void LoadReader::AddCause(const Json& line) {
   const std::string reason =
       line.contains("reason") ? TextOf(line, "reason") : "";
   const char* detail = line.contains("detail") ? "detail" : "why";
   ++causes_[{TextOf(line, "event"), reason,
-             WithoutFigures(TextOf(line, detail))}];
+             WithoutNumbers(TextOf(line, detail))}];
 }
 
 LoadSummary LoadReader::Summary() const {
--- a/src/ctl/load_summary.h
+++ b/src/ctl/load_summary.h
@@ -1,6 +1,5 @@
-// Tells from gateways' logs where requests of a load ended: in time, late,
-// refused, given up, by route, at which stage and after how long; and what the
-// stages' work went into.
+// Summarizes gateways' logs: counts and latencies of requests by route and
+// outcome, the causes of failures and retries, and the work of the stages.
 #ifndef ACACIACHUTE_SRC_CTL_LOAD_SUMMARY_H_
 #define ACACIACHUTE_SRC_CTL_LOAD_SUMMARY_H_
 
@@ -15,23 +14,24 @@
 
 namespace acaciachute {
 
-// Of one route, by how they were admitted and how they ended.
+// Requests of one route with the same admission and outcome.
 struct LoadRow {
   std::string route;
-  std::string admitted;  // "?" in logs of gateways that did not tell it.
-  std::string outcome;   // "in_time" and "late" stand for whole answers.
+  std::string admitted;  // "?" if the log line does not state it.
+  std::string outcome;   // "in_time" or "late" if answered completely.
   std::size_t requests = 0;
-  // Of their time in the gateway, in milliseconds.
+  // Median and 99th percentile of the requests' time in the gateway.
   std::int64_t median_ms = 0;
   std::int64_t p99_ms = 0;
-  std::int64_t expected_wait_ms = 0;  // Median, when they were admitted.
+  // Median of the wait that was expected when the requests were admitted.
+  std::int64_t expected_wait_ms = 0;
 };
 
-// Why requests were refused, given up or begun again.
+// A reason why requests were refused, abandoned or retried.
 struct LoadCause {
   std::string event;
   std::string reason;
-  std::string detail;  // Figures in it are left out.
+  std::string detail;  // Numbers of several digits are replaced by "N".
   std::size_t times = 0;
 };
 
@@ -39,21 +39,22 @@
   std::string service;
   std::size_t calls = 0;
   std::size_t pieces = 0;
-  std::size_t most_waiting = 0;
-  double slowness = 0;  // Mean, over calls; one is as fast as configured.
+  std::size_t most_waiting = 0;  // Maximum number of queued pieces.
+  // Mean over calls of the ratio of actual to configured duration.
+  double slowness = 0;
 };
 
 struct LoadSummary {
   std::vector<LoadRow> rows;      // By route.
-  std::vector<LoadCause> causes;  // The most frequent first.
+  std::vector<LoadCause> causes;  // By descending frequency.
   std::vector<StageLoad> stages;
 };
 
-// Takes lines one by one and keeps sums only, so that the logs of a hundred
-// gateways need no more memory than their figures.
+// Processes log lines one at a time and stores only their numbers, so that the
+// logs of a hundred gateways fit into memory.
 class LoadReader {
  public:
-  void Take(const nlohmann::json& line);
+  void AddLine(const nlohmann::json& line);
   LoadSummary Summary() const;
 
  private:
@@ -70,9 +71,9 @@
   using GroupKey = std::tuple<std::string, std::string, std::string>;
   using CauseKey = std::tuple<std::string, std::string, std::string>;
 
-  void TakeRequest(const nlohmann::json& line);
-  void TakePieceCall(const nlohmann::json& line);
-  void TakeCause(const nlohmann::json& line);
+  void AddRequest(const nlohmann::json& line);
+  void AddPieceCall(const nlohmann::json& line);
+  void AddCause(const nlohmann::json& line);
 
   std::map<GroupKey, Group> groups_;
   std::map<CauseKey, std::size_t> causes_;
--- a/src/ctl/log_explain.cc
+++ b/src/ctl/log_explain.cc
@@ -13,121 +13,124 @@
 namespace {
 
 using Json = nlohmann::json;
-using Describe = std::string (*)(const Json& line);
+using Describer = std::string (*)(const Json& line);
 
-std::string Refused(const Json& line) {
-  return StrCat("refused at once (", TextOf(line, "reason"), ", ",
+std::string DescribeRefused(const Json& line) {
+  return StrCat("refused at admission (", TextOf(line, "reason"), ", ",
                 TextOf(line, "verdict"), "): ", TextOf(line, "detail"),
-                "; configuration ", TextOf(line, "config"), " confirmed ",
+                "; configuration ", TextOf(line, "config"), " last confirmed ",
                 TextOf(line, "config_age_ms"), " ms before");
 }
-std::string GaveUp(const Json& line) {
-  return StrCat("given up (", TextOf(line, "reason"), ", ",
+std::string DescribeGaveUp(const Json& line) {
+  return StrCat("abandoned (", TextOf(line, "reason"), ", ",
                 TextOf(line, "verdict"), "): ", TextOf(line, "detail"),
-                "; told to return after ", TextOf(line, "retry_after_ms"),
+                "; client may retry after ", TextOf(line, "retry_after_ms"),
                 " ms");
 }
-std::string NotRun(const Json& line) {
-  return StrCat("replica ", TextOf(line, "replica"), " did not run it (status ",
+std::string DescribeNotRun(const Json& line) {
+  return StrCat("not run by replica ", TextOf(line, "replica"), " (status ",
                 TextOf(line, "status"), ")");
 }
-std::string Lost(const Json& line) {
+std::string DescribeLost(const Json& line) {
   return StrCat("lost at replica ", TextOf(line, "replica"), ": ",
-                TextOf(line, "why"), "; stream begun: ", TextOf(line, "begun"));
+                TextOf(line, "why"),
+                "; stream started: ", TextOf(line, "begun"));
 }
-std::string StagesAgain(const Json&) {
-  return "stages begun again: a result was gone";
+std::string DescribeStagesAgain(const Json&) {
+  return "stages restarted: a result was no longer available";
 }
-std::string PiecesAgain(const Json& line) {
+std::string DescribePiecesAgain(const Json& line) {
   return StrCat(TextOf(line, "pieces"), " pieces for ", TextOf(line, "service"),
-                " handed on: ", TextOf(line, "why"));
+                " resubmitted: ", TextOf(line, "why"));
 }
-// Lines of earlier versions do not tell it.
-std::string ListAge(const Json& line) {
+// Returns an empty text for lines of earlier versions, which lack the fields.
+std::string DescribeListAge(const Json& line) {
   if (!line.contains("list_ms")) {
     return "";
   }
   return StrCat("; chosen from a list ", TextOf(line, "list_ms"),
                 " ms old, connected after ", TextOf(line, "connect_ms"), " ms");
 }
-std::string Ended(const Json& line) {
-  return StrCat("ended: ", TextOf(line, "outcome"), " (status ",
-                TextOf(line, "status"), ") after ", TextOf(line, "total_ms"),
-                " ms, goal ", TextOf(line, "target_ms"),
-                " ms; stages whole at [", TextOf(line, "stages_ms"),
-                "] ms, first event at ", TextOf(line, "first_ms"),
-                " ms; replica ", TextOf(line, "replica"), ", ",
-                TextOf(line, "tried"), " asked, ", TextOf(line, "runs"),
-                " runs; configuration ", TextOf(line, "config"), ListAge(line));
+std::string DescribeEnd(const Json& line) {
+  return StrCat(
+      "ended: ", TextOf(line, "outcome"), " (status ", TextOf(line, "status"),
+      ") after ", TextOf(line, "total_ms"), " ms, target ",
+      TextOf(line, "target_ms"), " ms; stages complete at [",
+      TextOf(line, "stages_ms"), "] ms, first event at ",
+      TextOf(line, "first_ms"), " ms; replica ", TextOf(line, "replica"), ", ",
+      TextOf(line, "tried"), " replicas tried, ", TextOf(line, "runs"),
+      " runs; configuration ", TextOf(line, "config"), DescribeListAge(line));
 }
 
-// The lines that carry a request's id.
-const std::map<std::string, Describe, std::less<>>& RequestLines() {
-  static const std::map<std::string, Describe, std::less<>> kLines = {
-      {"refused", Refused},
-      {"gave_up", GaveUp},
-      {"not_run", NotRun},
-      {"lost", Lost},
-      {"stages_again", StagesAgain},
-      {"pieces_again", PiecesAgain},
-      {"request", Ended}};
+// Events whose lines carry a request's id.
+const std::map<std::string, Describer, std::less<>>& RequestEvents() {
+  static const std::map<std::string, Describer, std::less<>> kLines = {
+      {"refused", DescribeRefused},
+      {"gave_up", DescribeGaveUp},
+      {"not_run", DescribeNotRun},
+      {"lost", DescribeLost},
+      {"stages_again", DescribeStagesAgain},
+      {"pieces_again", DescribePiecesAgain},
+      {"request", DescribeEnd}};
   return kLines;
 }
 
-std::string Table(const Json& line) {
+std::string DescribeTable(const Json& line) {
   return StrCat(
       TextOf(line, "event"), " ", TextOf(line, "table"), ": ",
-      line.contains("why") ? TextOf(line, "why") : std::string("answers"));
+      line.contains("why") ? TextOf(line, "why") : std::string("answered"));
 }
-std::string Config(const Json& line) {
-  return StrCat("configuration ", TextOf(line, "version"), " in force");
+std::string DescribeConfig(const Json& line) {
+  return StrCat("configuration ", TextOf(line, "version"), " applied");
 }
-std::string Replica(const Json& line) {
+std::string DescribeReplica(const Json& line) {
   return StrCat("replica ", TextOf(line, "replica"), " of ",
                 TextOf(line, "service"), ": ", TextOf(line, "change"),
                 line.contains("list_ms")
-                    ? StrCat(", by a list ", TextOf(line, "list_ms"),
-                             " ms old until then")
+                    ? StrCat(", the previous list was ",
+                             TextOf(line, "list_ms"), " ms old")
                     : std::string());
 }
-std::string Peer(const Json& line) {
+std::string DescribePeer(const Json& line) {
   return StrCat("gateway ", TextOf(line, "peer"), ": ", TextOf(line, "state"));
 }
-std::string Source(const Json& line) {
-  return StrCat("asks ", TextOf(line, "source"), " for ", TextOf(line, "table"),
-                ", before ", TextOf(line, "before"), ", whose last word was ",
+std::string DescribeSource(const Json& line) {
+  return StrCat("requests table ", TextOf(line, "table"), " from ",
+                TextOf(line, "source"), "; previous source ",
+                TextOf(line, "before"), ", whose last update was ",
                 TextOf(line, "age_ms"), " ms old: ", TextOf(line, "why"));
 }
-std::string CallFailed(const Json& line) {
+std::string DescribeCallFailed(const Json& line) {
   return StrCat("a call for pieces of ", TextOf(line, "service"),
                 " failed: ", TextOf(line, "why"));
 }
-std::string Process(const Json& line) {
+std::string DescribeProcess(const Json& line) {
   return StrCat("process: ", TextOf(line, "event"));
 }
 
-// The lines that tell of beliefs and dependencies.
-const std::map<std::string, Describe, std::less<>>& AroundLines() {
-  static const std::map<std::string, Describe, std::less<>> kLines = {
-      {"table_lost", Table},
-      {"table_back", Table},
-      {"table_history_gone", Table},
-      {"table_source", Source},
-      {"config", Config},
-      {"config_refused", Table},
-      {"replica", Replica},
-      {"peer", Peer},
-      {"piece_call_failed", CallFailed},
-      {"start", Process},
-      {"drain", Process},
-      {"stop", Process},
-      {"log_dropped", Process}};
+// Events that report changes of a gateway's state or of its dependencies.
+const std::map<std::string, Describer, std::less<>>& ContextEvents() {
+  static const std::map<std::string, Describer, std::less<>> kLines = {
+      {"table_lost", DescribeTable},
+      {"table_back", DescribeTable},
+      {"table_history_gone", DescribeTable},
+      {"table_source", DescribeSource},
+      {"config", DescribeConfig},
+      {"config_refused", DescribeTable},
+      {"replica", DescribeReplica},
+      {"peer", DescribePeer},
+      {"piece_call_failed", DescribeCallFailed},
+      {"start", DescribeProcess},
+      {"drain", DescribeProcess},
+      {"stop", DescribeProcess},
+      {"log_dropped", DescribeProcess}};
   return kLines;
 }
 
-void Describes(const std::map<std::string, Describe, std::less<>>& table,
-               const Json& line,
-               std::vector<LogEvent>* out) {
+void AppendDescription(
+    const std::map<std::string, Describer, std::less<>>& table,
+    const Json& line,
+    std::vector<LogEvent>* out) {
   const auto it = table.find(TextOf(line, "event"));
   if (it != table.end()) {
     out->push_back({line.value("at_us", TimeUs{0}), TextOf(line, "node"),
@@ -148,7 +151,7 @@
   LogExplanation out;
   for (const Json& it : lines) {
     if (TextOf(it, "id") == id) {
-      Describes(RequestLines(), it, &out.request);
+      AppendDescription(RequestEvents(), it, &out.request);
     }
   }
   if (!out.found()) {
@@ -164,7 +167,7 @@
   for (const Json& it : lines) {
     const TimeUs at = it.value("at_us", TimeUs{0});
     if (at >= from && at <= to && nodes.contains(TextOf(it, "node"))) {
-      Describes(AroundLines(), it, &out.around);
+      AppendDescription(ContextEvents(), it, &out.around);
     }
   }
   SortByTime(&out.around);
--- a/src/ctl/log_explain.h
+++ b/src/ctl/log_explain.h
@@ -1,4 +1,4 @@
-// Tells from a gateway's log lines what became of one request and why.
+// Explains the outcome of one request from gateways' log lines.
 #ifndef ACACIACHUTE_SRC_CTL_LOG_EXPLAIN_H_
 #define ACACIACHUTE_SRC_CTL_LOG_EXPLAIN_H_
 
@@ -12,24 +12,26 @@
 namespace acaciachute {
 
 struct LogEvent {
-  TimeUs at = 0;  // Wall clock.
+  TimeUs at = 0;  // Wall-clock time.
   std::string node;
   std::string text;
 };
 
 struct LogExplanation {
-  // The request's own lines, in order, in words.
+  // Descriptions of the request's own lines, in order of time.
   std::vector<LogEvent> request;
-  // What its gateways' beliefs and dependencies did in the seconds before.
+  // Changes of state at the gateways of the request, and of the services that
+  // they depend on, from `kExplainBefore` before its first line to its last.
   std::vector<LogEvent> around;
   bool found() const { return !request.empty(); }
 };
 
-// Changes of belief that may explain a failure are shown from this long before
-// the request's first line: longer than any bound on what is believed.
+// Changes of a gateway's state are shown from this long before the request's
+// first line. It is longer than any bound on the age of the data by which a
+// gateway decides, so the change that explains a failure is included.
 inline constexpr DurationUs kExplainBefore = 6 * kSecond;
 
-// See `ReadLogLines` for what is passed over.
+// Lines that are not events are skipped; see `ForEachLogLine`.
 LogExplanation ExplainFromLog(std::istream* log, std::string_view id);
 
 }  // namespace acaciachute
--- a/src/ctl/log_lines.cc
+++ b/src/ctl/log_lines.cc
@@ -23,7 +23,7 @@
 }
 
 void ForEachLogLine(std::istream* log,
-                    const std::function<void(const Json&)>& take) {
+                    const std::function<void(const Json&)>& callback) {
   std::string text;
   while (std::getline(*log, text)) {
     const auto at = text.find('{');
@@ -34,7 +34,7 @@
         Json::parse(text.begin() + static_cast<std::ptrdiff_t>(at), text.end(),
                     nullptr, false);
     if (line.is_object() && line.contains("event")) {
-      take(line);
+      callback(line);
     }
   }
 }
--- a/src/ctl/log_lines.h
+++ b/src/ctl/log_lines.h
@@ -1,4 +1,4 @@
-// Reads a gateway's log: one JSON object a line.
+// Reads gateways' logs, which have one JSON object per line.
 #ifndef ACACIACHUTE_SRC_CTL_LOG_LINES_H_
 #define ACACIACHUTE_SRC_CTL_LOG_LINES_H_
 
@@ -11,17 +11,18 @@
 
 namespace acaciachute {
 
-// The log at `path`, opened in `file`, or standard input for no path or "-".
-// Null when it cannot be read.
+// Opens the log at `path` in `file`, or uses standard input if `path` is empty
+// or "-". Returns null when the file cannot be opened.
 std::istream* OpenLog(const std::string& path, std::ifstream* file);
 
-// Lines that are no event are passed over; text before the object, such as a
-// collector's time stamp, is ignored.
+// Calls `callback` for each line that is an event; other lines are skipped.
+// Text before the JSON object, such as a log collector's time stamp, is
+// ignored.
 void ForEachLogLine(std::istream* log,
-                    const std::function<void(const nlohmann::json&)>& take);
+                    const std::function<void(const nlohmann::json&)>& callback);
 std::vector<nlohmann::json> ReadLogLines(std::istream* log);
 
-// A member as text; "?" when it is not there.
+// Returns a member of the line as text, or "?" if it is missing.
 std::string TextOf(const nlohmann::json& line, const char* name);
 
 }  // namespace acaciachute
--- a/src/ctl/log_sources.cc
+++ b/src/ctl/log_sources.cc
@@ -13,7 +13,7 @@
 using Json = nlohmann::json;
 using Key = std::pair<std::string, std::string>;  // Table and gateway.
 
-void Take(const Json& line, std::map<Key, SourceOf>* sources) {
+void AddLine(const Json& line, std::map<Key, GatewaySource>* sources) {
   const std::string gateway = TextOf(line, "node");
   const std::string event = TextOf(line, "event");
   if (event == "start" || event == "stop") {
@@ -24,7 +24,7 @@
   if (event != "table_source") {
     return;
   }
-  SourceOf& it = (*sources)[{TextOf(line, "table"), gateway}];
+  GatewaySource& it = (*sources)[{TextOf(line, "table"), gateway}];
   it.table = TextOf(line, "table");
   it.gateway = gateway;
   it.source = TextOf(line, "source");
@@ -35,15 +35,15 @@
 
 }  // namespace
 
-std::vector<SourceOf> SourcesFromLog(std::istream* log) {
+std::vector<GatewaySource> SourcesFromLog(std::istream* log) {
   std::vector<Json> lines = ReadLogLines(log);
   std::stable_sort(
       lines.begin(), lines.end(), [](const Json& a, const Json& b) {
         return a.value("at_us", TimeUs{0}) < b.value("at_us", TimeUs{0});
       });
-  std::map<Key, SourceOf> sources;
+  std::map<Key, GatewaySource> sources;
   for (const Json& it : lines) {
-    Take(it, &sources);
+    AddLine(it, &sources);
   }
   for (const auto& [key, follower] : sources) {
     const auto it = sources.find({key.first, follower.source});
@@ -51,15 +51,16 @@
       ++it->second.followers;
     }
   }
-  std::vector<SourceOf> out;
+  std::vector<GatewaySource> out;
   out.reserve(sources.size());
   for (auto& [key, it] : sources) {
     out.push_back(std::move(it));
   }
-  std::stable_sort(
-      out.begin(), out.end(), [](const SourceOf& a, const SourceOf& b) {
-        return std::tie(a.table, b.followers) < std::tie(b.table, a.followers);
-      });
+  std::stable_sort(out.begin(), out.end(),
+                   [](const GatewaySource& a, const GatewaySource& b) {
+                     return std::tie(a.table, b.followers) <
+                            std::tie(b.table, a.followers);
+                   });
   return out;
 }
 
--- a/src/ctl/log_sources.h
+++ b/src/ctl/log_sources.h
@@ -1,4 +1,5 @@
-// Tells from gateways' logs whom each of them asks for the store's tables.
+// Determines from gateways' logs from which source each gateway gets each of
+// the store's tables.
 #ifndef ACACIACHUTE_SRC_CTL_LOG_SOURCES_H_
 #define ACACIACHUTE_SRC_CTL_LOG_SOURCES_H_
 
@@ -10,20 +11,20 @@
 
 namespace acaciachute {
 
-// At the end of the log.
-struct SourceOf {
+// A gateway's source of a table at the end of the log.
+struct GatewaySource {
   std::string table;
   std::string gateway;
-  std::string source;  // Another gateway, or "store".
-  TimeUs since = 0;    // Wall clock.
-  std::string why;     // What the source before failed by; empty: it did not.
-  std::size_t changes = 0;    // Since the gateway started.
-  std::size_t followers = 0;  // Gateways that ask this one.
+  std::string source;       // Another gateway, or "store".
+  TimeUs since = 0;         // Wall-clock time of the last change of the source.
+  std::string why;          // Failure of the previous source; empty: none.
+  std::size_t changes = 0;  // Changes of the source since the start.
+  std::size_t followers = 0;  // Gateways that get the table from this one.
 };
 
-// By table, those that are asked most first. A gateway that has stopped is left
-// out.
-std::vector<SourceOf> SourcesFromLog(std::istream* log);
+// Returns the sources sorted by table and then by descending number of
+// followers. Gateways that have stopped are omitted.
+std::vector<GatewaySource> SourcesFromLog(std::istream* log);
 
 }  // namespace acaciachute
 
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -1,4 +1,4 @@
-// acaciachutectl: the operators' command line.
+// acaciachutectl: the command-line program for operators.
 #include <cxxopts.hpp>
 #include <iostream>
 #include <string>
@@ -13,9 +13,10 @@
 constexpr char kVersion[] = "acaciachutectl 0.1.0";
 
 constexpr char kExitCodes[] =
-    "Exit codes: 0 done, 1 refused or not found, 2 wrong command line or "
-    "file,\n"
-    "3 another change won, 4 platform or entry does not answer, 5 not known\n"
+    "Exit codes: 0 success, 1 refused or not found, 2 invalid command line "
+    "or file,\n"
+    "3 a concurrent change won, 4 platform or entry does not answer, 5 not "
+    "known\n"
     "whether the change was accepted, 6 the branch belongs to another team.\n";
 
 cxxopts::Options MakeOptions() {
@@ -33,7 +34,8 @@
       cxxopts::value<std::int64_t>()->default_value("0"),
       "MS")("key", "Idempotency key; makes the request non-idempotent", text())(
       "note", "Why the change is made", text())(
-      "base", "Version that was edited", cxxopts::value<SettingsVersion>(),
+      "base", "Version that the change must replace",
+      cxxopts::value<SettingsVersion>(),
       "VERSION")("output", "table or json", text()->default_value("table"))(
       "dry-run", "Show what a change would do")("stream", "Stream the answer")(
       "version", "Print the version")("help", "Print this help")(
@@ -78,10 +80,10 @@
   const auto format =
       detail::ValueIn<OutputFormat>(kOutputFormatNames, TextOf(args, "output"));
   if (!format) {
-    return Complain(ExitCode::kUsage, "--output: allowed are table and json");
+    return PrintError(ExitCode::kUsage, "--output must be table or json");
   }
   command.format = *format;
-  // The longest name that fits: "trace show" before "trace".
+  // Prefers names of two words: "trace show" is tried before "trace".
   for (std::size_t n = std::min<std::size_t>(2, words.size()); n > 0; --n) {
     const auto it = table.find(n == 2 ? words[0] + " " + words[1] : words[0]);
     if (it == table.end()) {
@@ -92,12 +94,12 @@
     const CommandInfo& info = it->second;
     if (command.words.size() < info.min_words ||
         command.words.size() > info.max_words) {
-      return Complain(ExitCode::kUsage, StrCat("usage: ", info.usage));
+      return PrintError(ExitCode::kUsage, StrCat("usage: ", info.usage));
     }
     return info.run(command);
   }
-  return Complain(ExitCode::kUsage,
-                  StrCat("no command \"", words[0], "\"; see --help"));
+  return PrintError(ExitCode::kUsage,
+                    StrCat("no command \"", words[0], "\"; see --help"));
 }
 
 int Main(int argc, char** argv) {
@@ -126,11 +128,11 @@
     }
     if (args.count("words") == 0) {
       return static_cast<int>(
-          Complain(ExitCode::kUsage, "a command is required; see --help"));
+          PrintError(ExitCode::kUsage, "a command is required; see --help"));
     }
     return static_cast<int>(RunCommand(table, args));
   } catch (const cxxopts::exceptions::exception& e) {
-    return static_cast<int>(Complain(ExitCode::kUsage, e.what()));
+    return static_cast<int>(PrintError(ExitCode::kUsage, e.what()));
   }
 }
 
--- a/src/ctl/output.h
+++ b/src/ctl/output.h
@@ -1,4 +1,4 @@
-// Tables for people, JSON for programs.
+// Prints results as tables for people or as JSON for programs.
 #ifndef ACACIACHUTE_SRC_CTL_OUTPUT_H_
 #define ACACIACHUTE_SRC_CTL_OUTPUT_H_
 
@@ -16,13 +16,13 @@
 inline constexpr std::array<std::string_view, 2> kOutputFormatNames = {"table",
                                                                        "json"};
 
-// Prints an array of objects: one row each with the members in `columns`, or
-// the whole array as JSON.
+// Prints an array of objects: as a table with the members in `columns`, or as
+// JSON with all members.
 void PrintRows(OutputFormat format,
                const std::vector<std::string>& columns,
                const nlohmann::json& rows);
 
-// Prints one object: a line a member, or the whole as JSON.
+// Prints an object: one line per member, or as JSON.
 void PrintObject(OutputFormat format, const nlohmann::json& object);
 
 }  // namespace acaciachute
--- a/src/ctl/platform_table.h
+++ b/src/ctl/platform_table.h
@@ -1,5 +1,4 @@
-// The platform's table as a command-line program sees it: one blocking call at
-// a time.
+// Blocking access to the platform's table for the command-line program.
 #ifndef ACACIACHUTE_SRC_CTL_PLATFORM_TABLE_H_
 #define ACACIACHUTE_SRC_CTL_PLATFORM_TABLE_H_
 
@@ -12,7 +11,7 @@
 
 namespace acaciachute {
 
-// Runs the loop until the answer is there.
+// Sends an HTTP request and waits for its result.
 HttpResult CallAndWait(const HttpRequest& request);
 
 class PlatformTable {
--- a/src/ctl/quarantine_commands.cc
+++ b/src/ctl/quarantine_commands.cc
@@ -1,4 +1,4 @@
-// `quarantine list|lift`: requests that crashed upstreams.
+// Commands `quarantine list|lift`, for requests that crashed upstreams.
 #include <nlohmann/json.hpp>
 
 #include "ctl/command.h"
@@ -12,29 +12,32 @@
 
 constexpr int kHttpOk = 200;
 
-// One entry is enough: what it knows and what it lifts spreads to all.
-ExitCode Ask(const Command& command, HttpRequest request, Json* answer) {
+// Sends the request to the first entry only, because entries exchange their
+// quarantine records.
+ExitCode CallEntry(const Command& command, HttpRequest request, Json* answer) {
   if (command.entry_urls.empty()) {
-    return Complain(ExitCode::kUsage, "--entry URL is required");
+    return PrintError(ExitCode::kUsage, "--entry URL is required");
   }
   request.url = command.entry_urls[0] + request.url;
   const HttpResult result = CallAndWait(request);
   if (result.status == 0) {
-    return Complain(ExitCode::kUnavailable,
-                    StrCat("the entry does not answer: ", result.error));
+    return PrintError(ExitCode::kUnavailable,
+                      StrCat("the entry does not answer: ", result.error));
   }
   *answer = Json::parse(result.body, nullptr, false);
   return result.status == kHttpOk && answer->is_object()
              ? ExitCode::kOk
-             : Complain(ExitCode::kFailed,
-                        StrCat("refused with HTTP ", result.status));
+             : PrintError(ExitCode::kFailed,
+                          StrCat("the entry answered with HTTP status ",
+                                 result.status));
 }
 
 ExitCode List(const Command& command) {
   HttpRequest request;
   request.url = "/quarantine";
   Json answer;
-  if (const auto code = Ask(command, request, &answer); code != ExitCode::kOk) {
+  if (const auto code = CallEntry(command, request, &answer);
+      code != ExitCode::kOk) {
     return code;
   }
   PrintRows(command.format,
@@ -49,7 +52,8 @@
   request.url = "/quarantine/lift";
   request.body = Json{{"fingerprint", command.words[0]}}.dump();
   Json answer;
-  if (const auto code = Ask(command, request, &answer); code != ExitCode::kOk) {
+  if (const auto code = CallEntry(command, request, &answer);
+      code != ExitCode::kOk) {
     return code;
   }
   PrintObject(command.format, {{"lifted", command.words[0]}});
--- a/src/ctl/request_commands.cc
+++ b/src/ctl/request_commands.cc
@@ -1,4 +1,5 @@
-// `request send|status|explain`: what a caller would see, and why.
+// Commands `request send|status|explain`: send a request as a caller would,
+// show the state of one, and explain the outcome of one from logs.
 #include <fstream>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -18,8 +19,8 @@
 
 ExitCode ShowAnswer(const Command& command, const HttpResult& result) {
   if (result.status == 0) {
-    return Complain(ExitCode::kUnavailable,
-                    StrCat("the entry does not answer: ", result.error));
+    return PrintError(ExitCode::kUnavailable,
+                      StrCat("the entry does not answer: ", result.error));
   }
   Json shown = {{"http_status", result.status}, {"whole", result.whole}};
   for (const auto& [name, value] : result.headers) {
@@ -37,7 +38,7 @@
 
 ExitCode Call(const Command& command, HttpRequest request) {
   if (command.entry_urls.empty()) {
-    return Complain(ExitCode::kUsage, "--entry URL is required");
+    return PrintError(ExitCode::kUsage, "--entry URL is required");
   }
   request.url = command.entry_urls[0] + request.url;
   request.headers.emplace_back("Authorization", "Bearer " + command.token);
@@ -83,12 +84,13 @@
   std::ifstream file;
   std::istream* log = OpenLog(command.file, &file);
   if (log == nullptr) {
-    return Complain(ExitCode::kUsage, StrCat("cannot read ", command.file));
+    return PrintError(ExitCode::kUsage, StrCat("cannot read ", command.file));
   }
   const LogExplanation found = ExplainFromLog(log, command.words[0]);
   if (!found.found()) {
-    return Complain(ExitCode::kFailed,
-                    StrCat("no line tells of request ", command.words[0]));
+    return PrintError(
+        ExitCode::kFailed,
+        StrCat("the log has no event of request ", command.words[0]));
   }
   const std::vector<std::string> columns = {"at_us", "node", "what"};
   if (command.format == OutputFormat::kJson) {
@@ -97,7 +99,8 @@
     return ExitCode::kOk;
   }
   PrintRows(command.format, columns, RowsOf(found.request));
-  std::cout << "\nchanges at its gateways before and meanwhile\n";
+  std::cout
+      << "\nchanges of state at its gateways before and during the request\n";
   PrintRows(command.format, columns, RowsOf(found.around));
   return ExitCode::kOk;
 }
--- a/src/ctl/settings_access.cc
+++ b/src/ctl/settings_access.cc
@@ -35,7 +35,8 @@
   PlatformTable table(command.platform_url);
   StoreAnswer answer = table.Transact({op});
   if (answer.status != StoreStatus::kOk) {
-    return absl::UnavailableError("the platform's table does not answer");
+    return absl::UnavailableError(
+        "the platform's table does not answer or refused the read");
   }
   return std::move(answer.rows);
 }
@@ -45,7 +46,7 @@
   return json.is_discarded() ? Json() : json;
 }
 
-// Body that a change would give its branch.
+// Returns the JSON text that the branch would have after the change.
 absl::StatusOr<std::string> NewBody(const Command& command,
                                     const SettingsChange& change) {
   if (!change.roll_back_to) {
@@ -67,15 +68,16 @@
 ExitCode ShowDryRun(const Command& command, const SettingsChange& change) {
   const auto old = ReadBranch(command, change.branch);
   if (!old.ok()) {
-    return ComplainUnavailable(old.status());
+    return PrintReadError(old.status());
   }
   const auto body = NewBody(command, change);
   if (!body.ok()) {
-    return Complain(ExitCode::kUsage, std::string(body.status().message()));
+    return PrintError(ExitCode::kUsage, std::string(body.status().message()));
   }
   const auto checked = ParseBranch(change.branch, old->version + 1, *body);
   if (!checked.ok()) {
-    return Complain(ExitCode::kUsage, std::string(checked.status().message()));
+    return PrintError(ExitCode::kUsage,
+                      std::string(checked.status().message()));
   }
   PrintObject(command.format,
               {{"branch", change.branch},
@@ -87,15 +89,15 @@
 
 }  // namespace
 
-ExitCode Complain(ExitCode code, std::string_view text) {
+ExitCode PrintError(ExitCode code, std::string_view text) {
   std::cerr << "acaciachutectl: " << text << "\n";
   return code;
 }
 
-ExitCode ComplainUnavailable(const absl::Status& status) {
+ExitCode PrintReadError(const absl::Status& status) {
   const bool usage = absl::IsInvalidArgument(status);
-  return Complain(usage ? ExitCode::kUsage : ExitCode::kUnavailable,
-                  std::string(status.message()));
+  return PrintError(usage ? ExitCode::kUsage : ExitCode::kUnavailable,
+                    std::string(status.message()));
 }
 
 absl::StatusOr<std::string> ReadTextFile(const std::string& path) {
@@ -156,7 +158,8 @@
 
 ExitCode WriteChange(const Command& command, SettingsChange change) {
   if (command.platform_url.empty() || command.team.empty()) {
-    return Complain(ExitCode::kUsage, "--platform URL and --team are required");
+    return PrintError(ExitCode::kUsage,
+                      "--platform URL and --team are required");
   }
   if (command.dry_run) {
     return ShowDryRun(command, change);
--- a/src/ctl/settings_access.h
+++ b/src/ctl/settings_access.h
@@ -1,4 +1,4 @@
-// Reads and changes branches of the settings tree for the commands.
+// Functions by which commands read and change branches of the settings tree.
 #ifndef ACACIACHUTE_SRC_CTL_SETTINGS_ACCESS_H_
 #define ACACIACHUTE_SRC_CTL_SETTINGS_ACCESS_H_
 
@@ -13,22 +13,23 @@
 
 namespace acaciachute {
 
-// All branches as the table has them now.
+// Reads all branches from the table. Branches that cannot be parsed are
+// omitted.
 absl::StatusOr<std::vector<Branch>> ReadBranches(const Command& command);
-// Version zero: there is no such branch.
+// Reads one branch. Its version is zero if it does not exist.
 absl::StatusOr<Branch> ReadBranch(const Command& command,
                                   std::string_view name);
 absl::StatusOr<std::vector<HistoryEntry>> ReadBranchHistory(
     const Command& command,
     std::string_view name);
 
-// Writes the change and says how it ended; with --dry-run only what it would
-// change.
+// Writes the change and prints its outcome. With --dry-run, prints the
+// differences that it would make and writes nothing.
 ExitCode WriteChange(const Command& command, SettingsChange change);
 
-ExitCode ComplainUnavailable(const absl::Status& status);
+ExitCode PrintReadError(const absl::Status& status);
 
-// Text of a file, or an error with its path.
+// Returns the contents of a file, or an error that names its path.
 absl::StatusOr<std::string> ReadTextFile(const std::string& path);
 
 }  // namespace acaciachute
--- a/src/ctl/settings_commands.cc
+++ b/src/ctl/settings_commands.cc
@@ -1,4 +1,4 @@
-// `settings get|set|diff|history|rollback`.
+// Commands `settings get|set|diff|history|rollback`.
 #include <charconv>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -25,10 +25,10 @@
 ExitCode Get(const Command& command) {
   const auto branch = ReadBranch(command, command.words[0]);
   if (!branch.ok()) {
-    return ComplainUnavailable(branch.status());
+    return PrintReadError(branch.status());
   }
   if (branch->version == 0) {
-    return Complain(ExitCode::kFailed, "there is no such branch");
+    return PrintError(ExitCode::kFailed, "there is no such branch");
   }
   const Json body = Json::parse(branch->json, nullptr, false);
   if (command.format == OutputFormat::kJson) {
@@ -44,7 +44,7 @@
 ExitCode Set(const Command& command) {
   const auto text = ReadTextFile(command.file);
   if (!text.ok()) {
-    return Complain(ExitCode::kUsage, std::string(text.status().message()));
+    return PrintError(ExitCode::kUsage, std::string(text.status().message()));
   }
   SettingsChange change;
   change.branch = command.words[0];
@@ -55,7 +55,7 @@
 ExitCode History(const Command& command) {
   const auto history = ReadBranchHistory(command, command.words[0]);
   if (!history.ok()) {
-    return ComplainUnavailable(history.status());
+    return PrintReadError(history.status());
   }
   Json rows = Json::array();
   for (const auto& it : *history) {
@@ -72,11 +72,11 @@
   const auto from = ParseVersion(command.words[1]);
   const auto to = ParseVersion(command.words[2]);
   if (!from || !to) {
-    return Complain(ExitCode::kUsage, "a version is a whole number from 1");
+    return PrintError(ExitCode::kUsage, "a version is a whole number from 1");
   }
   const auto history = ReadBranchHistory(command, command.words[0]);
   if (!history.ok()) {
-    return ComplainUnavailable(history.status());
+    return PrintReadError(history.status());
   }
   std::optional<Json> old_body;
   std::optional<Json> new_body;
@@ -89,9 +89,10 @@
     }
   }
   if (!old_body || !new_body) {
-    return Complain(ExitCode::kFailed, "the history has no such version");
+    return PrintError(ExitCode::kFailed,
+                      "the branch's history lacks one of the versions");
   }
-  // RFC 6902: what turns the one into the other.
+  // A JSON Patch (RFC 6902) from the old version to the new one.
   PrintRows(command.format, {"op", "path", "value"},
             Json::diff(*old_body, *new_body));
   return ExitCode::kOk;
@@ -100,7 +101,7 @@
 ExitCode Rollback(const Command& command) {
   const auto version = ParseVersion(command.words[1]);
   if (!version) {
-    return Complain(ExitCode::kUsage, "a version is a whole number from 1");
+    return PrintError(ExitCode::kUsage, "a version is a whole number from 1");
   }
   SettingsChange change;
   change.branch = command.words[0];
--- a/src/ctl/view_commands.cc
+++ b/src/ctl/view_commands.cc
@@ -1,4 +1,5 @@
-// `status`, `explain`, `cost`, `trace show`: what the entries know.
+// Commands `status`, `explain`, `cost` and `trace show`, which read the state
+// of entries.
 #include <algorithm>
 #include <map>
 #include <nlohmann/json.hpp>
@@ -27,7 +28,8 @@
   return json;
 }
 
-// What each entry answers on `path`; one that does not answer gives null.
+// Requests `path` from each entry. The result is nullopt for entries that do
+// not answer.
 std::vector<std::pair<std::string, std::optional<Json>>> AskEntries(
     const Command& command,
     const std::string& path) {
@@ -39,14 +41,14 @@
   return out;
 }
 
-ExitCode NeedEntries(const Command& command) {
+ExitCode CheckEntriesGiven(const Command& command) {
   return command.entry_urls.empty()
-             ? Complain(ExitCode::kUsage, "--entry URL is required")
+             ? PrintError(ExitCode::kUsage, "--entry URL is required")
              : ExitCode::kOk;
 }
 
 ExitCode Status(const Command& command) {
-  if (const auto code = NeedEntries(command); code != ExitCode::kOk) {
+  if (const auto code = CheckEntriesGiven(command); code != ExitCode::kOk) {
     return code;
   }
   Json rows = Json::array();
@@ -102,15 +104,15 @@
   return row;
 }
 
-// Where a request of the event would go now, stage by stage, as each entry
-// sees it.
+// Prints, for each stage of the event and each entry, the number of replicas
+// that the entry considers ready and which of them has the least work.
 ExitCode Explain(const Command& command) {
-  if (const auto code = NeedEntries(command); code != ExitCode::kOk) {
+  if (const auto code = CheckEntriesGiven(command); code != ExitCode::kOk) {
     return code;
   }
   const auto branches = ReadBranches(command);
   if (!branches.ok()) {
-    return ComplainUnavailable(branches.status());
+    return PrintReadError(branches.status());
   }
   const Event* event = nullptr;
   for (const auto& branch : *branches) {
@@ -118,12 +120,12 @@
     event = it == branch.events.end() ? event : &it->second;
   }
   if (event == nullptr) {
-    return Complain(ExitCode::kFailed, "refused: unknown_event");
+    return PrintError(ExitCode::kFailed, "refused: unknown_event");
   }
   Json rows = Json::array();
   for (const auto& [url, status] : AskEntries(command, "/status")) {
     if (!status) {
-      return Complain(ExitCode::kUnavailable, url + " does not answer");
+      return PrintError(ExitCode::kUnavailable, url + " does not answer");
     }
     for (const auto& stage : event->stages) {
       Json row = ExplainStage(*status, stage.pool);
@@ -139,14 +141,14 @@
 }
 
 ExitCode Cost(const Command& command) {
-  if (const auto code = NeedEntries(command); code != ExitCode::kOk) {
+  if (const auto code = CheckEntriesGiven(command); code != ExitCode::kOk) {
     return code;
   }
-  // Entries count apart; equal keys are added up.
+  // Each entry counts its own requests, so rows with equal keys are summed.
   std::map<std::string, Json> sums;
   for (const auto& [url, cost] : AskEntries(command, "/cost")) {
     if (!cost || !cost->is_array()) {
-      return Complain(ExitCode::kUnavailable, url + " does not answer");
+      return PrintError(ExitCode::kUnavailable, url + " does not answer");
     }
     for (const auto& row : *cost) {
       Json& sum =
@@ -192,7 +194,7 @@
 }
 
 ExitCode TraceShow(const Command& command) {
-  if (const auto code = NeedEntries(command); code != ExitCode::kOk) {
+  if (const auto code = CheckEntriesGiven(command); code != ExitCode::kOk) {
     return code;
   }
   Json rows = Json::array();
--- a/src/daemon/entry_node.cc
+++ b/src/daemon/entry_node.cc
@@ -30,19 +30,22 @@
 namespace acaciachute {
 namespace {
 
-// A hint that lags by up to 30 s is not worth more reads than this.
+// Period of reads of the platform's host list. The list is only a hint that may
+// lag by up to 30 s, so more frequent reads would not help.
 constexpr DurationUs kHostListPeriod = 10 * kSecond;
-// Decisions on settings are made on the tick; a third of the gossip period.
-constexpr DurationUs kSettingsTick = 100 * kMillisecond;
-// A slow table's answer is still news when it comes.
+// Period of the tick that drives settings sync and leases: a third of the
+// gossip period.
+constexpr DurationUs kSettingsTickPeriod = 100 * kMillisecond;
+// Longer than `kStoreTimeout`, because a read of the settings is still useful
+// when the table is slow.
 constexpr DurationUs kSettingsReadTimeout = 10 * kSecond;
-// The table's own limit on a transaction is below this.
+// Timeout of a transaction; above the table's own limit for one.
 constexpr DurationUs kStoreTimeout = 2 * kSecond;
-// A draining entry waits this long for outcomes of claims to stand. During an
-// outage of the table it then leaves without them, and their callers are told
-// "may have run" from the claims that stand.
-constexpr DurationUs kSettleBeforeExit = 10 * kSecond;
-constexpr DurationUs kDrainPoll = 20 * kMillisecond;
+// Maximum time that a draining entry waits until the outcomes of its claims are
+// written. If the table is down for longer, the entry exits without them, and
+// later copies of these requests are answered with "may have run".
+constexpr DurationUs kClaimOutcomeTimeout = 10 * kSecond;
+constexpr DurationUs kDrainPollPeriod = 20 * kMillisecond;
 constexpr int kHttpOk = 200;
 
 std::vector<NodeId> PeerNames(const std::vector<PeerAddress>& peers) {
@@ -248,7 +251,7 @@
   HttpServer server;
   HttpClient store;
   HttpClient settings_store;
-  // Callers that asked for a stream, and whether it has started.
+  // Callers that requested a stream, and whether its first part has been sent.
   std::map<CallerHandle, bool> streams;
   Wakeup wakeup{loop, [this] {
                   entry.OnTick(Loop::Now());
@@ -256,22 +259,22 @@
                 }};
   bool draining = false;
   bool was_current = false;
-  TimeUs settle_until = 0;
+  TimeUs claim_outcome_deadline = 0;
 };
 
 void EntryNode::Impl::Answer(CallerHandle handle, const CallerAnswer& answer) {
   const auto it = streams.find(handle);
-  const bool asked = it != streams.end();
-  const bool started = asked && it->second;
-  if (asked) {
+  const bool wants_stream = it != streams.end();
+  const bool started = wants_stream && it->second;
+  if (wants_stream) {
     streams.erase(it);
   }
-  // A stored answer has not been streamed; a refusal before the first part is
-  // an ordinary one, with its status.
-  if (asked && !started && answer.verdict == Verdict::kAnswered) {
+  // The answer of an earlier copy of the request is streamed as a single part.
+  // A refusal before the first part is an ordinary response with its status.
+  if (wants_stream && !started && answer.verdict == Verdict::kAnswered) {
     server.StreamPart(handle, FormatStreamPart(answer.body));
   }
-  if (started || (asked && answer.verdict == Verdict::kAnswered)) {
+  if (started || (wants_stream && answer.verdict == Verdict::kAnswered)) {
     server.StreamEnd(handle, FormatStreamEnd(answer));
     return;
   }
@@ -283,7 +286,8 @@
                                std::function<void(StoreAnswer)> done) {
   const auto call = platform.Start(Loop::Now(), purpose);
   if (!call) {
-    // From the loop, as every answer: the caller is in the middle of its step.
+    // Called from the loop, like every other answer, because `done` must not
+    // run inside the caller's own call.
     loop->After(0, [done = std::move(done)] {
       done({StoreStatus::kUnavailable, {}});
     });
@@ -293,7 +297,8 @@
   request.method = "POST";
   request.url = StrCat(settings.platform_url, kTransactPath);
   request.body = EncodeTransaction(ops);
-  // Every write is conditional, and its outcome is settled by nonce or version.
+  // Repeating is safe: every write is conditional, and a nonce or the version
+  // shows whether it was applied.
   request.repeatable = true;
   HttpClient& client =
       purpose == StorePurpose::kSettings ? settings_store : store;
@@ -453,7 +458,8 @@
   heartbeat.reply_to = reply_to;
   heartbeat.settings = sync.Digest(Loop::Now());
   if (reply_to == 0) {
-    heartbeat.settings.witnesses.clear();  // Only answers prove anything.
+    // Only a reply can prove how recent the sender's settings are.
+    heartbeat.settings.witnesses.clear();
   }
   mesh.SendDatagram(peer, heartbeat);
 }
@@ -486,9 +492,9 @@
   if (!members.OnAnswer(now, from, from_incarnation, heartbeat)) {
     return;
   }
-  Heartbeat judged = heartbeat;
-  judged.state = members.StateOf(from);
-  entry.OnHeartbeat(now, from, from_incarnation, judged);
+  Heartbeat with_member_state = heartbeat;
+  with_member_state.state = members.StateOf(from);
+  entry.OnHeartbeat(now, from, from_incarnation, with_member_state);
 }
 
 void EntryNode::Impl::OnMemberState(const NodeId& sidecar, NodeState state) {
@@ -507,10 +513,10 @@
   request.url = StrCat(settings.platform_url, "/v1/hosts");
   request.repeatable = true;
   store.Call(request, [this, call = *call](const HttpResult& result) {
-    const bool whole = result.status == kHttpOk && result.whole;
+    const bool ok = result.status == kHttpOk && result.whole;
     platform.End(Loop::Now(), call,
-                 whole ? StoreStatus::kOk : StoreStatus::kUnavailable);
-    if (whole) {
+                 ok ? StoreStatus::kOk : StoreStatus::kUnavailable);
+    if (ok) {
       members.OnHostList(Loop::Now(), DecodeHostList(result.body));
     }
   });
@@ -521,13 +527,14 @@
 }
 
 void EntryNode::Impl::QuitWhenDone() {
-  const bool settled = entry.Unsettled() == 0 || Loop::Now() >= settle_until;
+  const bool settled =
+      entry.Unsettled() == 0 || Loop::Now() >= claim_outcome_deadline;
   if (entry.InProgress() == 0 && server.Open() == 0 && settled) {
     LOG(INFO) << "event=stopped node=" << settings.node;
     loop->Quit();
     return;
   }
-  loop->After(kDrainPoll, [this] { QuitWhenDone(); });
+  loop->After(kDrainPollPeriod, [this] { QuitWhenDone(); });
 }
 
 EntryNode::EntryNode(const NodeSettings& settings, Loop* loop)
@@ -543,7 +550,7 @@
   }
   PrintListening(impl_->settings.node, impl_->mesh.port(),
                  impl_->server.port());
-  impl_->loop->Every(kSettingsTick, [this] {
+  impl_->loop->Every(kSettingsTickPeriod, [this] {
     impl_->sync.OnTick(Loop::Now());
     impl_->control.OnTick(Loop::Now(), impl_->entry.replicas());
     impl_->LogCurrency();
@@ -551,7 +558,8 @@
   impl_->sync.OnTick(Loop::Now());
   impl_->loop->Every(Membership::kTick,
                      [this] { impl_->members.OnTick(Loop::Now()); });
-  // Entries that started together do not read the list together.
+  // A random delay, so that entries that start together read the list at
+  // different times.
   const auto delay =
       static_cast<DurationUs>(impl_->random.Below(kHostListPeriod));
   impl_->loop->After(delay, [this] { impl_->ReadHostList(); });
@@ -566,12 +574,13 @@
   impl_->control.Leave();
   LOG(INFO) << "event=draining node=" << impl_->settings.node
             << " in_progress=" << impl_->entry.InProgress();
-  // The balancer looks at /readyz every second or two; until it has noticed,
-  // what it sends is taken, and its idle connections are closed by answers.
+  // The balancer polls /readyz every 1 to 2 s. Requests that it sends until it
+  // sees the change are accepted, and each answer asks it to close the
+  // connection.
   impl_->server.CloseConnections();
   impl_->loop->After(impl_->settings.balancer_grace, [this] {
     impl_->entry.Leave();
-    impl_->settle_until = Loop::Now() + kSettleBeforeExit;
+    impl_->claim_outcome_deadline = Loop::Now() + kClaimOutcomeTimeout;
     impl_->QuitWhenDone();
   });
 }
--- a/src/daemon/entry_node.h
+++ b/src/daemon/entry_node.h
@@ -1,4 +1,4 @@
-// An entry process: the core `Entry` between sockets and timers.
+// An entry process: connects the decision core `Entry` to sockets and timers.
 #ifndef ACACIACHUTE_SRC_DAEMON_ENTRY_NODE_H_
 #define ACACIACHUTE_SRC_DAEMON_ENTRY_NODE_H_
 
@@ -18,7 +18,8 @@
   EntryNode& operator=(const EntryNode&) = delete;
 
   absl::Status Start();
-  // Not ready at once; ends the loop when nothing is in progress.
+  // Reports not ready at once, and ends the loop when no request is in
+  // progress.
   void Drain();
 
  private:
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -14,39 +14,40 @@
 namespace acaciachute {
 namespace {
 
-// A sound replica accepts within a few ms; beyond this another one answers
-// sooner.
-constexpr DurationUs kConnect = 200 * kMillisecond;
-constexpr DurationUs kTick = 10 * kMillisecond;
-constexpr DurationUs kSettingsCheck = kSecond;
-// The balancer asks once a second and takes a host out after two misses.
-constexpr DurationUs kLeastDrain = 2500 * kMillisecond;
-// Left of the grace period when what is still open is answered, so that its
-// clients hear it before their connections close.
+// Timeout of a connection attempt to a replica. A healthy replica accepts
+// within a few ms; after this time a retry at another one is faster.
+constexpr DurationUs kConnectTimeout = 200 * kMillisecond;
+constexpr DurationUs kTickPeriod = 10 * kMillisecond;
+constexpr DurationUs kSettingsCheckPeriod = kSecond;
+// Minimum duration of a drain. The balancer polls once per second and takes a
+// host out after two failed polls.
+constexpr DurationUs kMinDrainDuration = 2500 * kMillisecond;
+// Requests still open when this much of the grace period remains are refused,
+// so that clients receive the answer before their connections are closed.
 constexpr DurationUs kAnswerReserve = 900 * kMillisecond;
-// Left of the grace period for the exit itself.
+// Time at the end of the grace period that is reserved for the process's exit.
 constexpr DurationUs kExitReserve = 300 * kMillisecond;
-// A revocation must be in force when its bound is over: the share of the bound
-// for which a confirmed configuration counts.
+// Share of the key revocation bound for which a confirmed configuration may be
+// used to check keys. Below one, so that a revocation is in force in time.
 constexpr double kKeyAgeShare = 0.9;
-// Memory for clients' bodies, as a share of the process's limit.
-constexpr std::size_t kBodyShare = 5;
-// Descriptors for clients' connections, as a share of the process's limit; the
-// rest is for replicas and files.
-constexpr double kClientShare = 0.5;
+// The process's memory limit, divided by this, is available to buffer the
+// bodies of clients' requests.
+constexpr std::size_t kBodyMemoryDivisor = 5;
+// Share of the process's file descriptors, less `kReservedDescriptors`, that is
+// available for client connections. The other descriptors are for connections
+// to replicas and for files.
+constexpr double kClientDescriptorShare = 0.5;
 constexpr std::size_t kReservedDescriptors = 250;
 
-// How long the store holds a question for the configuration that has no news,
-// as a share of the time for which a key that was taken away may be used; each
-// call has its price.
-//
-// Failure: the store stops answering. Symptom: a gateway refuses all requests
-// with keys as soon as the last answer is too old, which counts from when it
-// was asked for. The shorter the questions wait, the longer callers are served.
+// Share of the key revocation bound for which the store delays its answer to a
+// request for changes of the configuration while there are none. Longer waits
+// save calls to the store, which are charged. Shorter ones extend service when
+// the store stops answering: requests with keys are refused once the last
+// answer is too old, and its age counts from when the request was sent.
 constexpr double kConfigurationWaitShare = 0.2;
 
-// The operator's table has the configuration and the orders to empty failure
-// domains.
+// The operator's table holds the configuration and the orders to evacuate
+// failure domains.
 FreshnessPlan PlanConfiguration(const HostSettings& settings) {
   const FreshnessBounds& bounds = settings.freshness;
   FreshnessPlan plan =
@@ -141,7 +142,8 @@
 void GatewayNode::Impl::ApplyBounds() {
   configuration.plan = PlanConfiguration(settings);
   replicas.plan = PlanReplicas(settings);
-  // What was chosen last must be there when this host counts as in touch.
+  // A request that is sent to a retained replica at the last moment must still
+  // arrive within `contact`.
   directory.SetMostKept(settings.freshness.contact - replicas.plan.act);
   pieces.SetMostConnect(replicas.plan.Connect());
 }
@@ -154,8 +156,8 @@
   if (auto status = clients.Listen(settings.clients); !status.ok()) {
     return status;
   }
-  loop->Every(kTick, [this] { Tick(); });
-  loop->Every(kSettingsCheck, [this] { Reload(); });
+  loop->Every(kTickPeriod, [this] { Tick(); });
+  loop->Every(kSettingsCheckPeriod, [this] { Reload(); });
   log.Write(
       "start",
       {{"domain", settings.domain},
@@ -196,14 +198,14 @@
 
 void GatewayNode::Impl::CheckDrained() {
   const DurationUs since = Now() - drain_since;
-  if (since >= kLeastDrain) {
+  if (since >= kMinDrainDuration) {
     gateway->RefuseStreams();
     clients.CloseIdle();
   }
   if (since >= settings.grace - kAnswerReserve) {
     gateway->RefuseAll();
   }
-  const bool idle = since >= kLeastDrain && gateway->in_progress() == 0 &&
+  const bool idle = since >= kMinDrainDuration && gateway->in_progress() == 0 &&
                     clients.exchanges() == 0 && desk.ServesNobody();
   if (!idle && since < settings.grace - kExitReserve) {
     return;
@@ -215,20 +217,23 @@
 }
 
 void GatewayNode::Impl::Reload() {
-  const auto fresh = platform::LoadHostSettings();
-  if (!fresh.ok()) {
+  const auto reloaded = platform::LoadHostSettings();
+  if (!reloaded.ok()) {
     log.Write("settings_refused",
-              {{"why", std::string(fresh.status().message())}});
+              {{"why", std::string(reloaded.status().message())}});
     return;
   }
-  if (fresh->clients != settings.clients ||
-      fresh->readiness != settings.readiness ||
-      fresh->store != settings.store) {
-    log.Write("settings_need_restart", {{"why", "an address changed"}});
+  if (reloaded->clients != settings.clients ||
+      reloaded->readiness != settings.readiness ||
+      reloaded->store != settings.store) {
+    log.Write("settings_need_restart",
+              {{"why",
+                "a listening address or the store's address changed; it takes "
+                "effect after a restart"}});
   }
   const GatewayOptions before = OptionsOf(settings);
-  const GatewayOptions after = OptionsOf(*fresh);
-  if (after == before && fresh->freshness == settings.freshness) {
+  const GatewayOptions after = OptionsOf(*reloaded);
+  if (after == before && reloaded->freshness == settings.freshness) {
     return;
   }
   log.Write("settings", {{"key_age_ms", after.key_age / kMillisecond},
@@ -236,14 +241,14 @@
                          {"retry_slack", after.budget.slack},
                          {"cold_over", after.cold.over},
                          {"cold_slack", after.cold.slack},
-                         {"drain_ms", fresh->freshness.drain / kMillisecond},
+                         {"drain_ms", reloaded->freshness.drain / kMillisecond},
                          {"config_apply_ms",
-                          fresh->freshness.config_apply / kMillisecond}});
-  settings.key_revocation = fresh->key_revocation;
-  settings.retries = fresh->retries;
-  settings.cold = fresh->cold;
-  settings.replica_beat = fresh->replica_beat;
-  settings.freshness = fresh->freshness;
+                          reloaded->freshness.config_apply / kMillisecond}});
+  settings.key_revocation = reloaded->key_revocation;
+  settings.retries = reloaded->retries;
+  settings.cold = reloaded->cold;
+  settings.replica_beat = reloaded->replica_beat;
+  settings.freshness = reloaded->freshness;
   ApplyBounds();
   gateway->SetOptions(after);
 }
@@ -254,18 +259,18 @@
 
 void GatewayNode::Impl::OnOperatorRequest(ExchangeId id,
                                           const HttpRequestHead& head) {
-  constexpr int kOk = 200;
-  constexpr int kNotFound = 404;
-  constexpr int kUnavailable = 503;
+  constexpr int kHttpOk = 200;
+  constexpr int kHttpNotFound = 404;
+  constexpr int kHttpUnavailable = 503;
   if (head.target == "/readyz") {
-    readiness.Reply(id, Ready() ? kOk : kUnavailable, {}, "");
+    readiness.Reply(id, Ready() ? kHttpOk : kHttpUnavailable, {}, "");
   } else if (head.target == "/healthz") {
-    readiness.Reply(id, kOk, {}, "");
+    readiness.Reply(id, kHttpOk, {}, "");
   } else if (head.target == "/metrics") {
-    readiness.Reply(id, kOk, {{"Content-Type", "text/plain"}},
+    readiness.Reply(id, kHttpOk, {{"Content-Type", "text/plain"}},
                     metrics.PrometheusText());
   } else {
-    readiness.Reply(id, kNotFound, {}, "");
+    readiness.Reply(id, kHttpNotFound, {}, "");
   }
 }
 
@@ -276,9 +281,9 @@
   out.read.body_bytes = limits.body_bytes;
   out.head = limits.head_time;
   out.idle = limits.idle_time;
-  out.buffered_bytes = settings.memory_bytes / kBodyShare;
+  out.buffered_bytes = settings.memory_bytes / kBodyMemoryDivisor;
   out.connections = static_cast<std::size_t>(
-      kClientShare *
+      kClientDescriptorShare *
       static_cast<double>(settings.max_descriptors - kReservedDescriptors));
   return out;
 }
@@ -311,20 +316,22 @@
 }
 
 CallId GatewayNode::Impl::Send(const SendOrder& order) {
-  // A kept connection may be closed by the other end just as it is used; what
-  // was sent may then have run. One used a moment ago is the safer.
-  constexpr DurationUs kFresh = kSecond;
+  // The replica may close an idle connection just as it is used, and then it is
+  // unknown whether the request ran. That is less likely if the connection was
+  // used recently, so requests that must not be repeated use no others.
+  constexpr DurationUs kMaxIdleForUnrepeatable = kSecond;
   ChannelOptions options;
   if (!order.may_repeat) {
-    options.most_idle = kFresh;
+    options.most_idle = kMaxIdleForUnrepeatable;
   }
-  options.connect = std::min(kConnect, replicas.plan.Connect());
+  options.connect = std::min(kConnectTimeout, replicas.plan.Connect());
   options.most_kept = order.most_idle_connections;
   return channels.Start(order.address, platform::WriteSendOrder(order), options,
                         this);
 }
 
-// A whole call says nothing new: its line would double those of its start.
+// Logs calls that failed or produced only some of their pieces. A line for each
+// successful call would double the number of lines, as its start is logged.
 void GatewayNode::Impl::OnPieceCallEnd(const std::string& service,
                                        BatchId id,
                                        const PieceCallEnd& end) {
--- a/src/daemon/gateway_node.h
+++ b/src/daemon/gateway_node.h
@@ -1,5 +1,5 @@
-// A gateway process on the platform: the core `Gateway` between sockets, the
-// platform's store and timers.
+// A gateway process on the platform: connects the decision core `Gateway` to
+// sockets, the platform's store and timers.
 #ifndef ACACIACHUTE_SRC_DAEMON_GATEWAY_NODE_H_
 #define ACACIACHUTE_SRC_DAEMON_GATEWAY_NODE_H_
 
@@ -19,10 +19,10 @@
   GatewayNode& operator=(const GatewayNode&) = delete;
 
   absl::Status Start();
-  // Not ready at once; ends the loop when nothing is in progress and the
-  // balancer has had time to notice.
+  // Reports not ready at once. Ends the loop when no request is in progress and
+  // the balancer has had time to take this host out.
   void Drain();
-  // The settings may have changed.
+  // Reads the settings again and applies those that have changed.
   void Reload();
 
  private:
--- a/src/daemon/gateway_node_impl.h
+++ b/src/daemon/gateway_node_impl.h
@@ -1,4 +1,4 @@
-// The inside of `GatewayNode`, shared by its source files.
+// The implementation class of `GatewayNode`, shared by its source files.
 #ifndef ACACIACHUTE_SRC_DAEMON_GATEWAY_NODE_IMPL_H_
 #define ACACIACHUTE_SRC_DAEMON_GATEWAY_NODE_IMPL_H_
 
@@ -31,10 +31,10 @@
 
 namespace acaciachute {
 
-// Where gateways find one another.
+// The store's table in which gateways publish their addresses.
 inline constexpr char kGatewayTable[] = "acaciachute-gateways";
 
-// One table of the store, as this gateway follows it and passes it on.
+// A table of the store that this gateway follows and relays to other gateways.
 struct FollowedTable {
   FollowedTable(const std::string& table,
                 const FreshnessPlan& plan_in,
@@ -67,12 +67,13 @@
   absl::Status Start();
   void Drain();
   void Reload();
-  // How old what is known may get, and how long a choice holds.
+  // Applies the settings' bounds on the age of tables and on the time between
+  // the choice of a replica and the arrival of the request there.
   void ApplyBounds();
   void Tick();
   void CheckDrained();
 
-  // The balancer's question, and operators' pages.
+  // Serves the balancer's readiness checks and the operators' pages.
   class Readiness : public ListenerHandler {
    public:
     explicit Readiness(Impl* owner) : owner_(owner) {}
@@ -99,7 +100,7 @@
   void OnWritten(ExchangeId id) override { gateway->OnWritten(id); }
   void OnListenerEvent(const ListenerEvent& event) override;
 
-  // GatewayPorts
+  // GatewayPorts:
   TimeUs Now() override { return Loop::BootNow(); }
   void Refuse(ExchangeId id, const OwnAnswer& answer) override;
   void Answer(ExchangeId id,
@@ -142,24 +143,25 @@
   void OnRow(const std::string& table, const TableRow& row) override;
   void OnTableCurrent(const std::string& table, TimeUs known_at) override;
   void OnTableLost(const std::string& table) override;
-  // Rows that the operator writes. The orders to empty failure domains come
-  // first: no request may be served under the configuration without them.
-  void TakeOperatorTable(const std::vector<TableRow>& rows,
-                         std::uint64_t version);
-  void TakeOperatorRow(const TableRow& row);
-  // None when the row is another one, or names no failure domain.
+  // Applies the rows that the operator writes. Evacuations are applied before
+  // the configuration, so that no request is served under the configuration
+  // without them.
+  void ApplyOperatorTable(const std::vector<TableRow>& rows,
+                          std::uint64_t version);
+  void ApplyOperatorRow(const TableRow& row);
+  // Returns nullopt if the row is no evacuation or names no failure domain.
   std::optional<EvacuationOrder> ReadEvacuation(const TableRow& row);
-  void TakeConfig(const TableRow& row);
-  // A line in the log for each key and reason, however often it is written.
-  void TellRefusedRow(std::string_view event,
-                      const TableRow& row,
-                      const std::string& why);
-  // Null when this gateway does not follow it.
+  void ApplyConfig(const TableRow& row);
+  // Logs a refused row once per key and reason, however often it is written.
+  void LogRefusedRow(std::string_view event,
+                     const TableRow& row,
+                     const std::string& why);
+  // Returns null when this gateway does not follow the table.
   FollowedTable* Followed(const std::string& table);
   void OnStoreAnswer(const std::string& table,
                      std::uint64_t id,
                      const TableAnswer& answer);
-  // None when the row names no replica; the log says why.
+  // Returns nullopt and logs the reason if the row cannot be parsed.
   std::optional<ReplicaEntry> ReadReplica(const TableRow& row);
 
   // DirectoryWatcher
@@ -214,7 +216,7 @@
   void OnFrameKey(const std::string& key) override;
 
   void TickPeers(TimeUs now);
-  void TellKnownGateways(TimeUs now);
+  void UpdateKnownGateways(TimeUs now);
   void SendBeats(TimeUs now);
   GatewayBeat BeatNow(TimeUs now) const;
 
@@ -235,15 +237,16 @@
   GatewayPeers peers;
   LocalPieceDesk batchers;
   SharedPieceDesk desk;
-  std::unique_ptr<PeerMesh> mesh;  // Once the frames' key is known.
+  std::unique_ptr<PeerMesh> mesh;  // Null until the frame key is known.
   GatewayJoin join;
-  TimeUs next_peers_at = 0;
-  TimeUs next_known_at = 0;
+  TimeUs next_peer_check_at = 0;
+  TimeUs next_known_gateways_at = 0;
   platform::StoreClient store;
   FollowedTable configuration;
   FollowedTable replicas;
-  // Keys whose rows name no replica, with the reason that was logged.
-  static constexpr std::size_t kMostRefusedRows = 1000;
+  // Limits the memory for refused rows; beyond it, `refused_rows` is cleared.
+  static constexpr std::size_t kMaxRefusedRows = 1000;
+  // Keys of rows that were refused, with the reason that was logged.
   std::map<std::string, std::string> refused_rows;
   bool draining = false;
   TimeUs drain_since = 0;
--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -1,4 +1,5 @@
-// A gateway process among the others: finding them, beats, pieces handed over.
+// Communication of a gateway process with other gateways: discovery,
+// heartbeats, tasks and results of pieces, and relayed tables.
 #include <map>
 #include <utility>
 
@@ -7,27 +8,29 @@
 namespace acaciachute {
 namespace {
 
-// Each look goes over all gateways; a fifth of the shortest period of beats.
-constexpr DurationUs kPeersPeriod = GatewayPeers::kBeat / 5;
-constexpr DurationUs kKnownPeriod = 250 * kMillisecond;
-// From reading the others' rows until all have heard of this gateway, some
-// first beats lost.
-constexpr DurationUs kSettle = kSecond;
+// Period of checks of all peers, which iterate over all gateways: a fifth of
+// the shortest heartbeat period.
+constexpr DurationUs kPeerCheckPeriod = GatewayPeers::kBeat / 5;
+// Period of updates of the list of known gateways.
+constexpr DurationUs kKnownGatewaysPeriod = 250 * kMillisecond;
+// Time after reading the other gateways' rows until all of them have received a
+// heartbeat from this one, even if some of the first ones are lost.
+constexpr DurationUs kJoinSettleTime = kSecond;
 
 }  // namespace
 
 void GatewayNode::Impl::TickPeers(TimeUs now) {
   join.OnTick(now);
-  if (now < next_peers_at) {
+  if (now < next_peer_check_at) {
     return;
   }
-  next_peers_at = now + kPeersPeriod;
+  next_peer_check_at = now + kPeerCheckPeriod;
   peers.OnTick(now);
   for (const NodeId& peer : peers.TakeLost(now)) {
     gateway->engines()->SetOthers(peer, {});
     desk.OnPeerLost(now, peer);
   }
-  TellKnownGateways(now);
+  UpdateKnownGateways(now);
   gateway->SetEntries(peers.Live());
   gateway->SetAnotherIsCurrent(peers.AnotherIsCurrent());
   if (mesh == nullptr) {
@@ -36,15 +39,16 @@
   SendBeats(now);
 }
 
-// Only those that know the others well enough take a part of what is shared by
-// number. A gateway's first beats tell them of it.
-void GatewayNode::Impl::TellKnownGateways(TimeUs now) {
-  if (now < next_known_at) {
+// Passes the list of known gateways on, by which limits are divided among them.
+// The list stays empty until `kJoinSettleTime` after this gateway joined, so
+// that it takes no share before the others have learned of it by heartbeats.
+void GatewayNode::Impl::UpdateKnownGateways(TimeUs now) {
+  if (now < next_known_gateways_at) {
     return;
   }
-  next_known_at = now + kKnownPeriod;
+  next_known_gateways_at = now + kKnownGatewaysPeriod;
   const auto joined_at = join.joined_at();
-  const bool settled = joined_at && now - *joined_at >= kSettle;
+  const bool settled = joined_at && now - *joined_at >= kJoinSettleTime;
   gateway->SetKnownGateways(settled ? peers.Known(now) : std::vector<NodeId>());
 }
 
@@ -161,7 +165,7 @@
   options.listen = {settings.ip, settings.first_peer_port};
   mesh = std::make_unique<PeerMesh>(options, this, &metrics);
   if (const auto status = mesh->Listen(); !status.ok()) {
-    // Alone it still serves, with smaller batches.
+    // Without peers the gateway still serves requests, but in smaller batches.
     log.Write("mesh_failed", {{"why", std::string(status.message())}});
     mesh.reset();
   }
--- a/src/daemon/gateway_node_store.cc
+++ b/src/daemon/gateway_node_store.cc
@@ -1,5 +1,5 @@
-// What a gateway process learns from the platform's store: the configuration
-// and the replicas.
+// Processes the tables that a gateway reads from the platform's store: the
+// operator's table and the list of replicas.
 #include <optional>
 #include <utility>
 
@@ -57,7 +57,7 @@
   FollowedTable* followed = Followed(table);
   followed->relay.OnTable(rows, followed->watch.version());
   if (table == platform::kOperatorTable) {
-    TakeOperatorTable(rows, followed->watch.version());
+    ApplyOperatorTable(rows, followed->watch.version());
     return;
   }
   std::vector<ReplicaEntry> entries;
@@ -76,7 +76,7 @@
 void GatewayNode::Impl::OnRow(const std::string& table, const TableRow& row) {
   Followed(table)->relay.OnRow(row);
   if (table == platform::kOperatorTable) {
-    TakeOperatorRow(row);
+    ApplyOperatorRow(row);
     return;
   }
   if (row.removed) {
@@ -98,22 +98,23 @@
     return *std::move(entry);
   }
   metrics.Count("acaciachute_gateway_replica_rows_refused_total");
-  TellRefusedRow("replica_row_refused", row,
-                 std::string(entry.status().message()));
+  LogRefusedRow("replica_row_refused", row,
+                std::string(entry.status().message()));
   return std::nullopt;
 }
 
-// Another writer may write it many times a second.
-void GatewayNode::Impl::TellRefusedRow(std::string_view event,
-                                       const TableRow& row,
-                                       const std::string& why) {
-  std::string& told = refused_rows[row.key];
-  if (told != why) {
-    told = why;
+// Deduplicates the lines, because another writer may write such a row many
+// times per second.
+void GatewayNode::Impl::LogRefusedRow(std::string_view event,
+                                      const TableRow& row,
+                                      const std::string& why) {
+  std::string& logged_reason = refused_rows[row.key];
+  if (logged_reason != why) {
+    logged_reason = why;
     log.Write(event,
               {{"key", row.key}, {"row_version", row.version}, {"why", why}});
   }
-  if (refused_rows.size() > kMostRefusedRows) {
+  if (refused_rows.size() > kMaxRefusedRows) {
     refused_rows.clear();
   }
 }
@@ -123,8 +124,8 @@
   auto domain = platform::ParseEvacuation(row.key);
   if (!domain.ok()) {
     metrics.Count("acaciachute_gateway_operator_rows_refused_total");
-    TellRefusedRow("evacuation_refused", row,
-                   std::string(domain.status().message()));
+    LogRefusedRow("evacuation_refused", row,
+                  std::string(domain.status().message()));
     return std::nullopt;
   }
   if (!*domain) {
@@ -133,8 +134,8 @@
   return EvacuationOrder{**std::move(domain), row.version};
 }
 
-void GatewayNode::Impl::TakeOperatorTable(const std::vector<TableRow>& rows,
-                                          std::uint64_t version) {
+void GatewayNode::Impl::ApplyOperatorTable(const std::vector<TableRow>& rows,
+                                           std::uint64_t version) {
   std::vector<EvacuationOrder> orders;
   for (const TableRow& it : rows) {
     if (auto order = ReadEvacuation(it)) {
@@ -145,11 +146,11 @@
     gateway->OnEvacuated();
   }
   for (const TableRow& it : rows) {
-    TakeConfig(it);
+    ApplyConfig(it);
   }
 }
 
-void GatewayNode::Impl::TakeOperatorRow(const TableRow& row) {
+void GatewayNode::Impl::ApplyOperatorRow(const TableRow& row) {
   if (const auto order = ReadEvacuation(row)) {
     if (row.removed) {
       evacuations.OnTakenBack(Now(), *order);
@@ -158,10 +159,10 @@
     }
     return;
   }
-  TakeConfig(row);
+  ApplyConfig(row);
 }
 
-void GatewayNode::Impl::TakeConfig(const TableRow& row) {
+void GatewayNode::Impl::ApplyConfig(const TableRow& row) {
   if (row.key != platform::kConfigKey || row.removed) {
     return;
   }
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -1,4 +1,5 @@
-// acaciachuted: one process of the system, in the role its settings give it.
+// acaciachuted: runs one process of the system, in the role that its settings
+// name, or a gateway with --gateway.
 #include <glog/logging.h>
 
 #include <csignal>
@@ -61,7 +62,8 @@
              : RunNode<SidecarNode>(result.settings);
 }
 
-// The settings are the platform's own file, which it names to the process.
+// Runs a gateway. It reads the platform's settings file, whose path the
+// platform passes to the process.
 int RunGateway(bool check_only) {
   const auto settings = platform::LoadHostSettings();
   if (!settings.ok()) {
--- a/src/daemon/node_pages.h
+++ b/src/daemon/node_pages.h
@@ -1,4 +1,4 @@
-// The operators' pages that both roles have.
+// HTTP pages for operators that entries and sidecars have in common.
 #ifndef ACACIACHUTE_SRC_DAEMON_NODE_PAGES_H_
 #define ACACIACHUTE_SRC_DAEMON_NODE_PAGES_H_
 
@@ -8,7 +8,7 @@
 
 namespace acaciachute {
 
-// /healthz, /readyz, /metrics and /traces[/ID]; 404 for anything else.
+// Serves /healthz, /readyz, /metrics and /traces[/ID], and 404 for other paths.
 HttpReply ServeNodePage(const HttpHead& head,
                         bool ready,
                         const Metrics& metrics,
--- a/src/daemon/sidecar_node.cc
+++ b/src/daemon/sidecar_node.cc
@@ -28,15 +28,18 @@
 namespace acaciachute {
 namespace {
 
-// How often the upstream is asked; bounds how late leaving is noticed.
+// Period of load reports from the upstream, and so the longest delay until the
+// sidecar notices that the upstream is leaving.
 constexpr DurationUs kReportPeriod = 200 * kMillisecond;
-// A read of the lease's row; an order waits for it.
-constexpr DurationUs kPlatformTimeout = 2 * kSecond;
-// Until the upstream has said whether it keeps numbers, no order is passed.
-constexpr DurationUs kFenceRetry = kSecond;
-// Entries hear of the leaving by heartbeats in the meantime.
-constexpr DurationUs kLeavingGrace = 500 * kMillisecond;
-constexpr DurationUs kDrainPoll = 20 * kMillisecond;
+// Timeout of a read of the lease's row. A control order waits for the read.
+constexpr DurationUs kLeaseReadTimeout = 2 * kSecond;
+// Delay before the upstream is asked again for its fencing number. No control
+// order is passed on until it has stated whether it keeps such a number.
+constexpr DurationUs kFenceRetryDelay = kSecond;
+// Delay between the announcement that this sidecar leaves and its exit, so that
+// entries learn of it by heartbeats.
+constexpr DurationUs kLeavingGracePeriod = 500 * kMillisecond;
+constexpr DurationUs kDrainPollPeriod = 20 * kMillisecond;
 
 }  // namespace
 
@@ -114,11 +117,11 @@
     if (!std::holds_alternative<Heartbeat>(message)) {
       return;
     }
-    const auto& asked = std::get<Heartbeat>(message);
+    const auto& request = std::get<Heartbeat>(message);
     entries.insert(from);
-    sidecar.OnHeartbeat(Loop::Now(), from, from_incarnation, asked);
+    sidecar.OnHeartbeat(Loop::Now(), from, from_incarnation, request);
     Heartbeat heartbeat = sidecar.MakeHeartbeat();
-    heartbeat.reply_to = asked.sequence;
+    heartbeat.reply_to = request.sequence;
     heartbeat.fence = fence.in_force();
     mesh.SendDatagram(from, heartbeat);
   }
@@ -149,13 +152,13 @@
   FenceGuard fence;
   PeerMesh mesh;
   HttpServer server;
-  HttpClient platform{kPlatformTimeout};
+  HttpClient platform{kLeaseReadTimeout};
   UpstreamClient upstream;
   Wakeup wakeup{loop, [this] {
                   sidecar.OnTick(Loop::Now());
                   Rearm();
                 }};
-  std::set<NodeId> entries;  // Those that sent a heartbeat.
+  std::set<NodeId> entries;  // Entries that have sent a heartbeat.
   bool draining = false;
   NodeState logged_state = NodeState::kDead;
 };
@@ -172,7 +175,8 @@
   server.Reply(handle, ServeNodePage(head, ready, metrics, traces));
 }
 
-// Without a platform or a pool there is no lease, and orders are refused.
+// Reads the pool's lease. If the settings name no platform or no pool, there is
+// no lease, and orders are refused.
 void SidecarNode::Impl::ReadLease(std::uint64_t ticket) {
   if (settings.platform_url.empty() || settings.upstream_pool.empty()) {
     loop->After(0, [this, ticket] {
@@ -202,7 +206,7 @@
       fence.OnUpstreamFence(keeps, number);
       return;
     }
-    loop->After(kFenceRetry, [this] { ReadUpstreamFence(); });
+    loop->After(kFenceRetryDelay, [this] { ReadUpstreamFence(); });
   });
 }
 
@@ -227,7 +231,8 @@
   logged_state = sidecar.state();
   LOG(INFO) << "event=state node=" << settings.node
             << " state=" << Name(logged_state);
-  // Entries need not wait for their next question to hear of it.
+  // Sends heartbeats at once, so that entries learn of the new state before
+  // their next request for one.
   TellEntries();
 }
 
@@ -253,7 +258,7 @@
     loop->Quit();
     return;
   }
-  loop->After(kDrainPoll, [this] { QuitWhenDone(); });
+  loop->After(kDrainPollPeriod, [this] { QuitWhenDone(); });
 }
 
 SidecarNode::SidecarNode(const NodeSettings& settings, Loop* loop)
@@ -287,7 +292,7 @@
   impl_->draining = true;
   impl_->sidecar.Leave(Loop::Now());
   impl_->Rearm();
-  impl_->loop->After(kLeavingGrace, [this] { impl_->QuitWhenDone(); });
+  impl_->loop->After(kLeavingGracePeriod, [this] { impl_->QuitWhenDone(); });
 }
 
 }  // namespace acaciachute
--- a/src/daemon/sidecar_node.h
+++ b/src/daemon/sidecar_node.h
@@ -1,4 +1,5 @@
-// A sidecar process: the core `Sidecar` between sockets and its upstream.
+// A sidecar process: connects the decision core `Sidecar` to sockets and to its
+// upstream.
 #ifndef ACACIACHUTE_SRC_DAEMON_SIDECAR_NODE_H_
 #define ACACIACHUTE_SRC_DAEMON_SIDECAR_NODE_H_
 
@@ -18,7 +19,7 @@
   SidecarNode& operator=(const SidecarNode&) = delete;
 
   absl::Status Start();
-  // Refuses new work at once; ends the loop when nothing is in progress.
+  // Refuses new work at once, and ends the loop when no work is in progress.
   void Drain();
 
  private:
--- a/src/daemon/startup.h
+++ b/src/daemon/startup.h
@@ -1,4 +1,4 @@
-// What both roles do when they start.
+// Functions that processes of all roles call when they start.
 #ifndef ACACIACHUTE_SRC_DAEMON_STARTUP_H_
 #define ACACIACHUTE_SRC_DAEMON_STARTUP_H_
 
@@ -8,11 +8,11 @@
 
 namespace acaciachute {
 
-// A seed that differs between any two processes.
+// Returns a random seed from the operating system.
 std::uint64_t FreshSeed();
 
-// One JSON line on standard output with the ports that were bound, for whoever
-// let the system choose them.
+// Prints a JSON line with the bound ports on standard output, for callers that
+// let the operating system choose the ports.
 void PrintListening(const NodeId& node,
                     std::uint16_t frame_port,
                     std::uint16_t http_port);
--- a/src/state/claim.cc
+++ b/src/state/claim.cc
@@ -96,7 +96,7 @@
     const auto state = detail::ValueIn<ClaimState>(
         kClaimStateNames, in.at("state").get<std::string>());
     if (!state) {
-      return absl::DataLossError("claim row has an unknown value of \"state\"");
+      return absl::DataLossError("claim row has an unknown state");
     }
     claim.state = *state;
     claim.body_hash = in.at("body_hash").get<std::uint64_t>();
--- a/tests/load_summary_test.cc
+++ b/tests/load_summary_test.cc
@@ -1,4 +1,4 @@
-// Where requests ended, from the lines of gateways.
+// Tests the summary of requests, causes and stages from gateways' log lines.
 #include "ctl/load_summary.h"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
 LoadSummary Read() {
   std::istringstream log(kLog);
   LoadReader reader;
-  ForEachLogLine(&log, [&](const auto& line) { reader.Take(line); });
+  ForEachLogLine(&log, [&](const auto& line) { reader.AddLine(line); });
   return reader.Summary();
 }
 
--- a/tests/log_explain_test.cc
+++ b/tests/log_explain_test.cc
@@ -1,4 +1,4 @@
-// From a request's id to its cause, by the lines that a gateway wrote.
+// Tests the explanation of a request's outcome from gateways' log lines.
 #include "ctl/log_explain.h"
 
 #include <gmock/gmock.h>
@@ -11,7 +11,7 @@
 
 using ::testing::HasSubstr;
 
-// Recorded on days of the platform, cut to what is asked for.
+// Lines recorded on the platform, reduced to those that the tests need.
 constexpr char kLog[] = R"(
 not a line of ours
   19.9 front-a {"at_us":1000000,"node":"front-a","event":"table_lost","table":"op","why":"timeout: no answer in time","version":117,"age_ms":2534}
@@ -38,11 +38,12 @@
   const LogExplanation found = ExplainFromLog(&log, "bb");
   ASSERT_EQ(found.request.size(), 2U);
   EXPECT_THAT(found.request[0].text, HasSubstr("lost at replica i-1"));
-  EXPECT_THAT(found.request[1].text, HasSubstr("stages whole at [0:400]"));
+  EXPECT_THAT(found.request[1].text, HasSubstr("stages complete at [0:400]"));
 }
 
-// A request reached a replica that had left: the lines tell an old list from an
-// entry that was kept and from a choice that took long to leave.
+// A request reached a replica that had left. The lines distinguish the possible
+// causes: an old list of replicas, an entry that was kept during an outage, and
+// a long time between the choice of the replica and the connection to it.
 TEST(LogExplainTest, TellsHowOldTheListWasAndHowLongTheRequestTookToLeave) {
   std::istringstream log(kLog);
   const LogExplanation found = ExplainFromLog(&log, "dd");
@@ -51,7 +52,7 @@
               HasSubstr("a list 226 ms old, connected after 35 ms"));
   ASSERT_FALSE(found.around.empty());
   EXPECT_THAT(found.around.back().text,
-              HasSubstr("kept_in_outage, by a list 2628 ms old"));
+              HasSubstr("kept_in_outage, the previous list was 2628 ms old"));
 }
 
 TEST(LogExplainTest, SaysWhenNoLineTells) {
--- a/tests/log_sources_test.cc
+++ b/tests/log_sources_test.cc
@@ -1,4 +1,5 @@
-// Who follows whom, from the lines of several gateways.
+// Tests which source each gateway gets a table from, by lines of several
+// gateways' logs.
 #include "ctl/log_sources.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +22,7 @@
 
 TEST(LogSourcesTest, TellsTheLastSourceOfEachGatewayThatRuns) {
   std::istringstream log(kLog);
-  const std::vector<SourceOf> found = SourcesFromLog(&log);
+  const std::vector<GatewaySource> found = SourcesFromLog(&log);
   ASSERT_EQ(found.size(), 3U);
   EXPECT_EQ(found[0].gateway, "a");
   EXPECT_EQ(found[0].source, "store");
