--- a/src/ctl/load_summary.h
+++ b/src/ctl/load_summary.h
@@ -17,8 +17,9 @@
 // Requests of one route with the same admission and outcome.
 struct LoadRow {
   std::string route;
-  std::string admitted;  // "?" if the log line does not state it.
-  std::string outcome;   // "in_time" or "late" if answered completely.
+  // Prediction at admission, "in_time" or "late"; "?" in lines without it.
+  std::string admitted;
+  std::string outcome;  // "in_time" or "late" if answered completely.
   std::size_t requests = 0;
   // Median and 99th percentile of the requests' time in the gateway.
   std::int64_t median_ms = 0;
--- a/src/ctl/log_explain.cc
+++ b/src/ctl/log_explain.cc
@@ -78,7 +78,7 @@
 std::string DescribeTable(const Json& line) {
   return StrCat(
       TextOf(line, "event"), " ", TextOf(line, "table"), ": ",
-      line.contains("why") ? TextOf(line, "why") : std::string("answered"));
+      line.contains("why") ? TextOf(line, "why") : std::string("answers"));
 }
 std::string DescribeConfig(const Json& line) {
   return StrCat("configuration ", TextOf(line, "version"), " applied");
--- a/src/ctl/log_sources.h
+++ b/src/ctl/log_sources.h
@@ -18,7 +18,7 @@
   std::string source;       // Another gateway, or "store".
   TimeUs since = 0;         // Wall-clock time of the last change of the source.
   std::string why;          // Failure of the previous source; empty: none.
-  std::size_t changes = 0;  // Changes of the source since the start.
+  std::size_t changes = 0;  // Changes of the source since the gateway started.
   std::size_t followers = 0;  // Gateways that get the table from this one.
 };
 
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -41,9 +41,9 @@
 
 // Share of the key revocation bound for which the store delays its answer to a
 // request for changes of the configuration while there are none. Longer waits
-// save calls to the store, which are charged. Shorter ones extend service when
-// the store stops answering: requests with keys are refused once the last
-// answer is too old, and its age counts from when the request was sent.
+// save calls to the store, each of which has a cost. Shorter waits extend
+// service when the store stops answering: requests with keys are refused once
+// the last answer is too old, and its age counts from when it was requested.
 constexpr double kConfigurationWaitShare = 0.2;
 
 // The operator's table holds the configuration and the orders to evacuate
--- a/src/messages.h
+++ b/src/messages.h
@@ -23,7 +23,8 @@
   Standing standing = Standing::kClear;
   DurationUs age = 0;  // Time since the record last changed.
   std::string account;
-  std::vector<NodeId> crashed_at;  // Sidecars whose upstream crashed under it.
+  // Sidecars whose upstreams crashed while they ran the request.
+  std::vector<NodeId> crashed_at;
 };
 
 // Entry to sidecar: runs one stage. The call names the incarnation that it is
@@ -89,11 +90,12 @@
   SettingsVersion version = 0;
 };
 
-// Value of an age that is not known because there is nothing to measure from.
+// Marks an age as undefined: the event from which it would be measured has not
+// occurred.
 inline constexpr DurationUs kNever = -1;
 
-// States that a witness had no newer settings than the message's sender, `age`
-// before the message was sent.
+// Confirmation by a witness that, `age` before the message was sent, it had no
+// newer settings than the sender.
 struct WitnessAge {
   std::uint64_t witness = 0;  // Hash of its NodeId.
   DurationUs age = 0;
@@ -106,8 +108,8 @@
   // Sum of all versions. Of two nodes whose trees differ, the one with the
   // smaller sum pulls from the other.
   std::uint64_t sum = 0;
-  // Age of the latest time up to which the tree is known to include every
-  // change that the table accepted.
+  // The sender's tree includes every change that the table had accepted at the
+  // point in time that lies this long in the past.
   DurationUs proof_age = kNever;
   // Whether the sender may itself be counted as a witness.
   bool established = false;
@@ -116,8 +118,8 @@
 
 // Sent over UDP between entries, and between entries and sidecars. A heartbeat
 // whose `reply_to` is zero requests a reply, and the reply carries that
-// heartbeat's sequence number in `reply_to`, so that the receiver knows when it
-// asked for it.
+// heartbeat's sequence number in `reply_to`, by which the receiver of the reply
+// can tell when it sent the request.
 struct Heartbeat {
   Role role = Role::kEntry;
   NodeState state = NodeState::kStarting;
@@ -143,8 +145,8 @@
   Incarnation incarnation = 0;
 };
 
-// Between entries over TCP: requests every branch that is missing in `known` or
-// newer there.
+// Between entries over TCP: requests every branch that `known` lacks or lists
+// with a lower version than the receiver has.
 struct SettingsPull {
   std::uint64_t sequence = 0;
   std::vector<BranchVersion> known;
--- a/src/state/claim.h
+++ b/src/state/claim.h
@@ -31,7 +31,7 @@
 struct Claim {
   ClaimState state = ClaimState::kClaimed;
   std::uint64_t body_hash = 0;
-  std::uint64_t nonce = 0;  // Identifies the write of the row.
+  std::uint64_t nonce = 0;  // Random; identifies the write of the row.
   NodeId holder;
   Incarnation holder_incarnation = 0;
   Refusal reason = Refusal::kNone;
--- a/src/state/client_call.h
+++ b/src/state/client_call.h
@@ -29,7 +29,7 @@
   std::string host;
   HttpFields fields;  // The fields that are forwarded to the replica.
   std::string body;
-  std::optional<std::string> key;  // The client account's key.
+  std::optional<std::string> key;  // Key of the client account.
   DurationUs deadline = 0;         // Relative to when the client sent it.
   std::string model;
   std::uint64_t prompt_tokens = 0;
@@ -48,8 +48,9 @@
   // The replica states that it did not run the request.
   bool not_run = false;
   bool other_replica = false;  // Another replica now has the address.
-  bool sealed = false;         // Has the field that seals the replica's answer.
-  bool encoded = false;        // The body has a content encoding.
+  // Carries the `Replica-Seal` field, which proves that the replica answered.
+  bool sealed = false;
+  bool encoded = false;  // The body has a content encoding.
   // Requests at the replica, if its answer reports them.
   std::optional<std::uint32_t> running;
   std::optional<std::uint32_t> waiting;
--- a/src/state/host_settings.h
+++ b/src/state/host_settings.h
@@ -29,11 +29,11 @@
 // the store's acknowledgement of the change. They apply to hosts that have been
 // able to reach the store for at least `contact`.
 struct FreshnessBounds {
-  // Sending requests to a replica that has announced that it leaves.
+  // How long requests may be sent to a replica that announced that it leaves.
   DurationUs drain = 2 * kSecond;
-  // Applying the previous configuration.
+  // How long the previous configuration may be applied.
   DurationUs config_apply = 2 * kSecond;
-  // Sending requests to replicas in an evacuated failure domain.
+  // How long requests may be sent to replicas in an evacuated failure domain.
   DurationUs evacuation = 5 * kSecond;
   DurationUs contact = 3 * kSecond;
   bool operator==(const FreshnessBounds&) const = default;
@@ -49,8 +49,8 @@
   // Range of ports for connections between the system's own processes.
   std::uint16_t first_peer_port = 0;
   std::uint16_t last_peer_port = 0;
-  double cores = 1;  // Processor cores available to the process.
-  std::uint64_t memory_bytes = 0;
+  double cores = 1;                // Processor cores available to the process.
+  std::uint64_t memory_bytes = 0;  // Memory limit of the process.
   std::uint32_t max_descriptors = 0;
   // Maximum time for which a revoked key is still accepted.
   DurationUs key_revocation = 5 * kSecond;
--- a/src/state/metrics.cc
+++ b/src/state/metrics.cc
@@ -38,8 +38,8 @@
   return metric;
 }
 
-// Returns the last family if it is called `name`, or else appends one. That
-// finds each family because the maps are iterated in the order of names.
+// Returns the last family if it is called `name`, or else appends one. The maps
+// are iterated in order of name, so all series of a family are adjacent.
 prometheus::MetricFamily& FamilyOf(std::vector<prometheus::MetricFamily>* all,
                                    const std::string& name,
                                    prometheus::MetricType type) {
--- a/src/state/piece.h
+++ b/src/state/piece.h
@@ -27,13 +27,13 @@
   std::string service;
   std::string source;               // Input of a stage that needs no other.
   std::vector<std::string> inputs;  // Handles of the results it needs.
-  DurationUs time_left = 0;         // Until the request's deadline.
-  // Latest start of a call for the piece with which the request can still meet
-  // its target.
+  DurationUs time_left = 0;         // Time until the request's deadline.
+  // Time until the latest start of a call for the piece with which the request
+  // can still meet its target.
   DurationUs time_to_begin = 0;
   DurationUs waited = 0;  // Time since the request arrived.
-  // Results of earlier stages that are held in memory until this stage has run,
-  // per piece of this stage.
+  // Size of the results of earlier stages that stay in memory until this stage
+  // has run, divided by the number of this stage's pieces.
   std::uint64_t holds_bytes = 0;
   std::uint32_t priority = 0;      // Zero is the most urgent.
   std::uint64_t result_bytes = 0;  // Approximate size of the piece's result.
@@ -62,7 +62,8 @@
 
 // Expected time that a piece queued now would wait until its call begins.
 struct PoolWait {
-  // Priorities that are told apart; less urgent ones count as the last.
+  // Number of priorities that are distinguished. Less urgent ones count as the
+  // last of them.
   static constexpr std::size_t kRanks = 8;
   // For requests that can still meet their target, by priority.
   std::array<DurationUs, kRanks> in_time{};
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -31,7 +31,7 @@
   Row& row = it->second;
   if (!inserted) {
     RemoveFromIndexes(&row);
-    missing_.erase(entry.id.name);
+    retained_.erase(entry.id.name);
   }
   row.entry = entry;
   row.unreadable = false;
@@ -57,7 +57,7 @@
   row->entry.cold_until = std::max(before.cold_until, entry.cold_until);
   row->entry.back_at = before.back_at;
   row->unreadable = false;
-  missing_.erase(entry.id.name);
+  retained_.erase(entry.id.name);
   AddToIndexes(row);
   if (was_unreadable) {
     watcher_->OnReplica(entry, DirectoryChange::kReadable);
@@ -122,8 +122,8 @@
   if (it == entries_.end()) {
     return;
   }
-  if (!it->second.entry.leaving && (store_lost_ || now < keep_until_)) {
-    if (missing_.insert(name).second) {
+  if (!it->second.entry.leaving && (store_lost_ || now < retain_until_)) {
+    if (retained_.insert(name).second) {
       watcher_->OnReplica(it->second.entry, DirectoryChange::kKeptInOutage);
     }
     return;
@@ -161,11 +161,12 @@
 
 // A host cannot distinguish an outage of the store from being cut off itself.
 // In the second case it must drop replicas that left before it counts as a host
-// that reaches the store, hence the limit `most_kept_`.
+// that reaches the store, hence the limit `max_retention_`.
 void ReplicaDirectory::OnStoreBack(TimeUs now) {
   if (store_lost_) {
     store_lost_ = false;
-    keep_until_ = std::min(now + kRelistTime, store_lost_at_ + most_kept_);
+    retain_until_ =
+        std::min(now + kRelistTime, store_lost_at_ + max_retention_);
   }
 }
 
@@ -180,14 +181,14 @@
       return now - it.second.at > kEndedRetention;
     });
   }
-  if (missing_.empty() || store_lost_ || now < keep_until_) {
+  if (retained_.empty() || store_lost_ || now < retain_until_) {
     return;
   }
-  std::vector<std::string> gone(missing_.begin(), missing_.end());
+  std::vector<std::string> gone(retained_.begin(), retained_.end());
   std::sort(gone.begin(), gone.end());
   for (const auto& name : gone) {
     // The watcher may have inserted this entry again during a previous `Erase`.
-    if (missing_.contains(name)) {
+    if (retained_.contains(name)) {
       Erase(now, entries_.find(name));
     }
   }
@@ -269,7 +270,7 @@
   const ReplicaEntry entry = it->second.entry;
   // Before the notification, because the watcher may choose a replica in it.
   RemoveFromIndexes(&it->second);
-  missing_.erase(entry.id.name);
+  retained_.erase(entry.id.name);
   entries_.erase(it);
   if (entry.id.life != 0) {
     ended_[entry.id.name] = {entry.id.life, entry.leaving, now};
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -21,7 +21,8 @@
 //
 // Scale: there are thousands of replicas, each of which writes its row every
 // second, and all rows are read at the start. The indexes are updated
-// incrementally, so that the cost of a row does not depend on their number.
+// incrementally, so that the cost of a row does not grow with the number of
+// replicas.
 #ifndef ACACIACHUTE_SRC_STATE_REPLICA_DIRECTORY_H_
 #define ACACIACHUTE_SRC_STATE_REPLICA_DIRECTORY_H_
 
@@ -96,6 +97,7 @@
   return detail::NameIn(kDirectoryChangeNames, v);
 }
 
+// Receives the changes of a directory's entries.
 class DirectoryWatcher {
  public:
   virtual ~DirectoryWatcher() = default;
@@ -132,7 +134,7 @@
   void OnStoreBack(TimeUs now);
   // Limits how long entries are kept after their rows were removed, counted
   // from the last request that the store did not answer.
-  void SetMostKept(DurationUs most_kept) { most_kept_ = most_kept; }
+  void SetMostKept(DurationUs max_retention) { max_retention_ = max_retention; }
   // The directory reflects the store's list as of `known_at`.
   void OnCurrent(TimeUs known_at);
   // Removes entries whose retention has ended; call it every 10 ms.
@@ -217,7 +219,7 @@
   Rows entries_;
   absl::flat_hash_set<std::string> evacuated_;  // Failure domains.
   // Names of entries that are kept although their rows were removed.
-  absl::flat_hash_set<std::string> missing_;
+  absl::flat_hash_set<std::string> retained_;
   std::map<std::string, Ended> ended_;  // By name, the last to end.
   TimeUs next_ended_cleanup_at_ = 0;
   std::uint64_t added_ = 0;  // Incarnations listed so far.
@@ -228,9 +230,9 @@
   bool store_lost_ = false;
   // When the last request was sent that the store did not answer.
   TimeUs store_lost_at_ = 0;
-  DurationUs most_kept_ = kRelistTime;
+  DurationUs max_retention_ = kRelistTime;
   // After an outage: entries whose rows were removed are kept until then.
-  TimeUs keep_until_ = 0;
+  TimeUs retain_until_ = 0;
 };
 
 }  // namespace acaciachute
--- a/src/state/replica_health.h
+++ b/src/state/replica_health.h
@@ -1,11 +1,11 @@
 // Tracks the health of a replica by the outcomes of recent calls to it.
 //
-// A replica that fails fast has the least work in progress of its pool, so load
-// balancing by work in progress alone would send it most of the calls. Its
-// expected time is therefore multiplied by a penalty that grows with its share
-// of recent failures. Once that share reaches `kExclusionThreshold`, the
-// replica is excluded, except for one idempotent call every `kProbeEvery`,
-// whose success lets it return.
+// If one replica of nine fails every call at once, it has the least work in
+// progress of all, and load balancing by work in progress alone would send it
+// the whole load. The expected time of a replica is therefore multiplied by a
+// penalty that grows with its share of recent failures. Once that share reaches
+// `kExclusionThreshold`, the replica is excluded, except for one idempotent
+// call every `kProbeEvery`, whose success lets it return.
 #ifndef ACACIACHUTE_SRC_STATE_REPLICA_HEALTH_H_
 #define ACACIACHUTE_SRC_STATE_REPLICA_HEALTH_H_
 
--- a/src/state/serving_config.h
+++ b/src/state/serving_config.h
@@ -46,6 +46,7 @@
   DurationUs target = 0;       // Target latency.
   DurationUs pause = 0;        // Target for the gap between stream events.
   std::uint32_t priority = 0;  // Zero is the most urgent.
+  // Services among which requests are divided in proportion to their weights.
   std::vector<WeightedService> split;
   std::uint32_t max_attempts = 1;
   std::vector<StageSpec> stages;
@@ -76,15 +77,16 @@
   DurationUs result_life = 0;    // A replica deletes its results after this.
 };
 
+// Limits of a model engine.
 struct EngineLimits {
-  std::uint32_t slots = 1;
-  std::uint64_t cache_tokens = 0;
-  std::uint32_t tokens_per_event = 1;
+  std::uint32_t slots = 1;             // Requests in progress at one replica.
+  std::uint64_t cache_tokens = 0;      // Prompt tokens in a replica's cache.
+  std::uint32_t tokens_per_event = 1;  // Output tokens per stream event.
 };
 
 struct Service {
   std::string name;
-  std::uint32_t max_connections = 0;  // To one replica, from all gateways.
+  std::uint32_t max_connections = 0;  // From all gateways to a replica.
   std::optional<EngineLimits> engine;
   std::optional<BatchLimits> batching;
   DurationUs cold_start = 0;  // A replica is cold for this long after a start.
@@ -96,8 +98,8 @@
 struct ClientLimits {
   std::uint64_t head_bytes = 16 << 10;
   std::uint64_t body_bytes = 4 << 20;
-  DurationUs head_time = 3 * kSecond;   // To receive a request head.
-  DurationUs idle_time = 15 * kSecond;  // Of a connection without a request.
+  DurationUs head_time = 3 * kSecond;   // Timeout to receive a request head.
+  DurationUs idle_time = 15 * kSecond;  // Timeout of idle connections.
 };
 
 struct ClientAccount {
--- a/src/types.h
+++ b/src/types.h
@@ -79,12 +79,14 @@
 }
 
 namespace detail {
+// Returns the name of an enum value, or "unknown" for one out of range.
 template <typename E, std::size_t N>
 constexpr std::string_view NameIn(const std::array<std::string_view, N>& names,
                                   E value) {
   const auto n = static_cast<std::size_t>(value);
   return n < N ? names[n] : std::string_view("unknown");
 }
+// Returns the enum value with this name, or nullopt if there is none.
 template <typename E, std::size_t N>
 constexpr std::optional<E> ValueIn(const std::array<std::string_view, N>& names,
                                    std::string_view name) {
@@ -97,6 +99,7 @@
 }
 }  // namespace detail
 
+// Role of a process in a deployment of entries and sidecars.
 enum class Role { kEntry, kSidecar };
 inline constexpr std::array<std::string_view, 2> kRoleNames = {"entry",
                                                                "sidecar"};
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -184,7 +184,7 @@
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("real"));
   ReplicaEntry foreign = DirectoryRig::Entry("a-foreign");
-  foreign.service = "other-service";
+  foreign.service = "other";
   rig.directory.Put(foreign);
   EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id.name, "real");
   rig.directory.Put(DirectoryRig::Entry("real", true));
