--- a/src/ctl/load_summary.h
+++ b/src/ctl/load_summary.h
@@ -17,7 +17,8 @@
 // Requests of one route with the same admission and outcome.
 struct LoadRow {
   std::string route;
-  // Prediction at admission, "in_time" or "late"; "?" in lines without it.
+  // Decision at admission, such as "in_time" or "late"; "?" in lines without
+  // it.
   std::string admitted;
   std::string outcome;  // "in_time" or "late" if answered completely.
   std::size_t requests = 0;
--- a/src/ctl/settings_access.cc
+++ b/src/ctl/settings_access.cc
@@ -22,7 +22,7 @@
     ExitCode::kOk,       ExitCode::kUsage,       ExitCode::kNotOwner,
     ExitCode::kLostRace, ExitCode::kUnavailable, ExitCode::kUnknown};
 
-std::uint64_t FreshNonce() {
+std::uint64_t RandomNonce() {
   std::random_device device;
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
@@ -172,7 +172,7 @@
   }
   PlatformTable table(command.platform_url);
   const std::string branch = change.branch;
-  SettingsWrite write(std::move(change), FreshNonce());
+  SettingsWrite write(std::move(change), RandomNonce());
   while (!write.result()) {
     write.OnAnswer(table.Transact(write.Next()));
   }
--- a/src/ctl/view_commands.cc
+++ b/src/ctl/view_commands.cc
@@ -52,9 +52,9 @@
     return code;
   }
   Json rows = Json::array();
-  bool all = true;
+  bool all_answered = true;
   for (const auto& [url, status] : AskEntries(command, "/status")) {
-    all = all && status.has_value();
+    all_answered = all_answered && status.has_value();
     if (!status) {
       rows.push_back({{"seen_by", url}, {"state", "no answer"}});
       continue;
@@ -76,12 +76,12 @@
             {"seen_by", "node", "role", "pool", "failure_domain", "state",
              "queued", "in_progress", "limit", "versions"},
             rows);
-  return all ? ExitCode::kOk : ExitCode::kUnavailable;
+  return all_answered ? ExitCode::kOk : ExitCode::kUnavailable;
 }
 
 Json ExplainStage(const Json& status, const std::string& pool) {
   Json row = {{"pool", pool}, {"ready", 0}, {"best", nullptr}, {"waiting", 0}};
-  std::uint32_t least = 0;
+  std::uint32_t least_work = 0;
   for (const auto& it : status.value("replicas", Json::array())) {
     if (it.value("pool", "") != pool) {
       continue;
@@ -95,9 +95,9 @@
     const auto work = it.value("queued", 0U) + it.value("in_progress", 0U);
     row["waiting"] =
         row["waiting"].get<std::uint32_t>() + it.value("queued", 0U);
-    if (row["best"].is_null() || work < least) {
+    if (row["best"].is_null() || work < least_work) {
       row["best"] = it.value("node", "");
-      least = work;
+      least_work = work;
     }
   }
   row["verdict"] = row["ready"] == 0 ? "refused: no_replica" : "would run";
--- a/src/daemon/entry_node.cc
+++ b/src/daemon/entry_node.cc
@@ -76,7 +76,7 @@
   Impl(const NodeSettings& node_settings, Loop* event_loop)
       : settings(node_settings),
         loop(event_loop),
-        random(FreshSeed()),
+        random(RandomSeed()),
         incarnation(random.Next() | 1),
         traces(settings.node),
         sync(settings.node,
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -82,7 +82,7 @@
 GatewayNode::Impl::Impl(HostSettings settings_in, Loop* loop_in)
     : settings(std::move(settings_in)),
       loop(loop_in),
-      random(FreshSeed()),
+      random(RandomSeed()),
       log(STDOUT_FILENO, settings.node, loop_in),
       clients(this, loop_in),
       readiness_handler(this),
@@ -96,7 +96,7 @@
              }),
       directory(this),
       evacuations(&directory, &metrics, &log),
-      incarnation(FreshSeed()),
+      incarnation(RandomSeed()),
       peers({settings.node, settings.domain, settings.cores}, &log),
       batchers(&directory,
                this,
@@ -189,7 +189,7 @@
     return;
   }
   draining = true;
-  drain_since = Now();
+  drain_started_at = Now();
   peers.SetLeaving();
   clients.BeginDrain();
   log.Write("drain", {{"in_progress", gateway->in_progress()},
@@ -197,21 +197,22 @@
 }
 
 void GatewayNode::Impl::CheckDrained() {
-  const DurationUs since = Now() - drain_since;
-  if (since >= kMinDrainDuration) {
+  const DurationUs elapsed = Now() - drain_started_at;
+  if (elapsed >= kMinDrainDuration) {
     gateway->RefuseStreams();
     clients.CloseIdle();
   }
-  if (since >= settings.grace - kAnswerReserve) {
+  if (elapsed >= settings.grace - kAnswerReserve) {
     gateway->RefuseAll();
   }
-  const bool idle = since >= kMinDrainDuration && gateway->in_progress() == 0 &&
-                    clients.exchanges() == 0 && desk.ServesNobody();
-  if (!idle && since < settings.grace - kExitReserve) {
+  const bool idle = elapsed >= kMinDrainDuration &&
+                    gateway->in_progress() == 0 && clients.exchanges() == 0 &&
+                    desk.ServesNobody();
+  if (!idle && elapsed < settings.grace - kExitReserve) {
     return;
   }
   log.Write("stop", {{"in_progress", gateway->in_progress()},
-                     {"after_ms", since / kMillisecond}});
+                     {"after_ms", elapsed / kMillisecond}});
   log.Flush();
   loop->Quit();
 }
--- a/src/daemon/gateway_node_impl.h
+++ b/src/daemon/gateway_node_impl.h
@@ -74,9 +74,9 @@
   void CheckDrained();
 
   // Serves the balancer's readiness checks and the operators' pages.
-  class Readiness : public ListenerHandler {
+  class ReadinessHandler : public ListenerHandler {
    public:
-    explicit Readiness(Impl* owner) : owner_(owner) {}
+    explicit ReadinessHandler(Impl* owner) : owner_(owner) {}
     void OnRequest(ExchangeId id, HttpRequestHead head, std::string) override {
       owner_->OnOperatorRequest(id, head);
     }
@@ -157,7 +157,7 @@
                      const TableRow& row,
                      const std::string& why);
   // Returns null when this gateway does not follow the table.
-  FollowedTable* Followed(const std::string& table);
+  FollowedTable* FindFollowedTable(const std::string& table);
   void OnStoreAnswer(const std::string& table,
                      std::uint64_t id,
                      const TableAnswer& answer);
@@ -226,7 +226,7 @@
   Metrics metrics;
   LogWriter log;
   HttpListener clients;
-  Readiness readiness_handler;
+  ReadinessHandler readiness_handler;
   HttpListener readiness;
   HttpChannels channels;
   platform::PieceCalls pieces;
@@ -249,7 +249,7 @@
   // Keys of rows that were refused, with the reason that was logged.
   std::map<std::string, std::string> refused_rows;
   bool draining = false;
-  TimeUs drain_since = 0;
+  TimeUs drain_started_at = 0;
 };
 
 }  // namespace acaciachute
--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -103,11 +103,11 @@
   } else if (const auto* results = std::get_if<PieceResults>(&message)) {
     desk.OnPeerResults(*results);
   } else if (const auto* question = std::get_if<TableQuestion>(&message)) {
-    if (FollowedTable* it = Followed(question->table)) {
+    if (FollowedTable* it = FindFollowedTable(question->table)) {
       it->relay.OnQuestion(now, from, *question);
     }
   } else if (const auto* reply = std::get_if<TableReply>(&message)) {
-    if (FollowedTable* it = Followed(reply->table)) {
+    if (FollowedTable* it = FindFollowedTable(reply->table)) {
       it->source.OnReply(now, from, *reply);
     }
   }
--- a/src/daemon/gateway_node_store.cc
+++ b/src/daemon/gateway_node_store.cc
@@ -31,7 +31,7 @@
              }),
       watch(table, &plan, &source, listener, random, log) {}
 
-FollowedTable* GatewayNode::Impl::Followed(const std::string& table) {
+FollowedTable* GatewayNode::Impl::FindFollowedTable(const std::string& table) {
   if (table == platform::kOperatorTable) {
     return &configuration;
   }
@@ -47,14 +47,14 @@
                                       const TableAnswer& answer) {
   if (table == kGatewayTable) {
     join.OnRows(Now(), answer);
-  } else if (FollowedTable* it = Followed(table)) {
+  } else if (FollowedTable* it = FindFollowedTable(table)) {
     it->source.OnStoreAnswer(Now(), id, answer);
   }
 }
 
 void GatewayNode::Impl::OnTable(const std::string& table,
                                 const std::vector<TableRow>& rows) {
-  FollowedTable* followed = Followed(table);
+  FollowedTable* followed = FindFollowedTable(table);
   followed->relay.OnTable(rows, followed->watch.version());
   if (table == platform::kOperatorTable) {
     ApplyOperatorTable(rows, followed->watch.version());
@@ -74,7 +74,7 @@
 }
 
 void GatewayNode::Impl::OnRow(const std::string& table, const TableRow& row) {
-  Followed(table)->relay.OnRow(row);
+  FindFollowedTable(table)->relay.OnRow(row);
   if (table == platform::kOperatorTable) {
     ApplyOperatorRow(row);
     return;
@@ -186,12 +186,12 @@
     directory.OnStoreBack(Now());
     directory.OnCurrent(known_at);
   }
-  FollowedTable* followed = Followed(table);
+  FollowedTable* followed = FindFollowedTable(table);
   followed->relay.OnCurrent(known_at, followed->watch.version());
 }
 
 void GatewayNode::Impl::OnTableLost(const std::string& table) {
-  FollowedTable* followed = Followed(table);
+  FollowedTable* followed = FindFollowedTable(table);
   followed->relay.OnLost();
   if (table == platform::kReplicaTable) {
     directory.OnStoreLost(followed->source.store_failed_at());
--- a/src/daemon/sidecar_node.cc
+++ b/src/daemon/sidecar_node.cc
@@ -50,7 +50,7 @@
   Impl(const NodeSettings& node_settings, Loop* event_loop)
       : settings(node_settings),
         loop(event_loop),
-        random(FreshSeed()),
+        random(RandomSeed()),
         incarnation(random.Next() | 1),
         traces(settings.node),
         sidecar({settings.node, incarnation, settings.upstream_limit,
--- a/src/daemon/startup.cc
+++ b/src/daemon/startup.cc
@@ -5,7 +5,7 @@
 
 namespace acaciachute {
 
-std::uint64_t FreshSeed() {
+std::uint64_t RandomSeed() {
   std::random_device device;
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
--- a/src/daemon/startup.h
+++ b/src/daemon/startup.h
@@ -9,7 +9,7 @@
 namespace acaciachute {
 
 // Returns a random seed from the operating system.
-std::uint64_t FreshSeed();
+std::uint64_t RandomSeed();
 
 // Prints a JSON line with the bound ports on standard output, for callers that
 // let the operating system choose the ports.
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -20,7 +20,7 @@
   if (it == ended_.end() || entry->id.life == 0) {
     return false;
   }
-  const Ended& ended = it->second;
+  const EndedIncarnation& ended = it->second;
   entry->leaving =
       entry->leaving || (entry->id.life == ended.life && ended.left);
   return entry->id.life < ended.life;
@@ -70,8 +70,8 @@
   }
 }
 
-void ReplicaDirectory::Put(const ReplicaEntry& given) {
-  ReplicaEntry entry = given;
+void ReplicaDirectory::Put(const ReplicaEntry& row_entry) {
+  ReplicaEntry entry = row_entry;
   const auto it = entries_.find(entry.id.name);
   if (it == entries_.end()) {
     if (ApplyEnded(&entry)) {
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -183,7 +183,7 @@
     std::size_t lives_told = 0;
     absl::flat_hash_set<Row*> without_incarnation;
   };
-  struct Ended {
+  struct EndedIncarnation {
     Incarnation life = 0;
     bool left = false;  // Announced that it leaves, which is final.
     TimeUs at = 0;      // When the incarnation's entry was removed.
@@ -220,7 +220,7 @@
   absl::flat_hash_set<std::string> evacuated_;  // Failure domains.
   // Names of entries that are kept although their rows were removed.
   absl::flat_hash_set<std::string> retained_;
-  std::map<std::string, Ended> ended_;  // By name, the last to end.
+  std::map<std::string, EndedIncarnation> ended_;  // By name, the last to end.
   TimeUs next_ended_cleanup_at_ = 0;
   std::uint64_t added_ = 0;  // Incarnations listed so far.
   absl::node_hash_map<std::string, ServiceRows> services_;
