--- a/src/daemon/gateway_node_impl.h
+++ b/src/daemon/gateway_node_impl.h
@@ -156,7 +156,7 @@
   void LogRefusedRow(std::string_view event,
                      const TableRow& row,
                      const std::string& why);
-  // Returns null when this gateway does not follow the table.
+  // Returns null and logs the name when this gateway does not follow the table.
   FollowedTable* FindFollowedTable(const std::string& table);
   void OnStoreAnswer(const std::string& table,
                      std::uint64_t id,
