--- a/bench/replica_rows.cc
+++ b/bench/replica_rows.cc
@@ -75,7 +75,8 @@
   ReplicaDirectory directory(&quiet);
   directory.Replace(0, MakeEntries(state.range(0)), {});
   for (auto _ : state) {
-    benchmark::DoNotOptimize(directory.MakerOf("10.0.1.17:8080/5c1e07a2e440"));
+    benchmark::DoNotOptimize(
+        directory.ProducerOf("10.0.1.17:8080/5c1e07a2e440"));
   }
 }
 BENCHMARK(BM_MakerOf)->Arg(300)->Arg(3000)->Arg(30000);
--- a/src/coordination/choice/cold_limit.cc
+++ b/src/coordination/choice/cold_replica_limiter.cc
@@ -1,4 +1,4 @@
-#include "coordination/choice/cold_limit.h"
+#include "coordination/choice/cold_replica_limiter.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,12 +7,13 @@
 
 namespace acaciachute {
 
-void ColdLimit::SetBound(const ColdBound& bound, DurationUs replica_beat) {
+void ColdReplicaLimiter::SetBound(const ColdRateBound& bound,
+                                  DurationUs replica_heartbeat_period) {
   bound_ = bound;
-  replica_beat_ = replica_beat;
+  replica_heartbeat_period_ = replica_heartbeat_period;
 }
 
-void ColdLimit::SetServices(const ServingConfig& config) {
+void ColdReplicaLimiter::SetServices(const ServingConfig& config) {
   services_.clear();
   for (const auto& [name, service] : config.services()) {
     if (service.cold_rate > 0) {
@@ -22,14 +23,14 @@
   }
 }
 
-void ColdLimit::SetGateways(std::vector<NodeId> gateways) {
+void ColdReplicaLimiter::SetGateways(std::vector<NodeId> gateways) {
   if (gateways != gateways_) {
     gateways_ = std::move(gateways);
     ++generation_;
   }
 }
 
-const ColdLimit::Limits* ColdLimit::LimitsOf(
+const ColdReplicaLimiter::Limits* ColdReplicaLimiter::LimitsOf(
     const ReplicaEntry& replica) const {
   const auto it = services_.find(replica.service);
   return it == services_.end() ? nullptr : &it->second;
@@ -37,25 +38,26 @@
 
 // A replica in a failure domain that was taken back may have started again
 // while it was empty, and its row may not say so yet.
-TimeUs ColdLimit::ColdUntil(const ReplicaEntry& replica,
-                            const Limits& limits) const {
+TimeUs ColdReplicaLimiter::ColdUntil(const ReplicaEntry& replica,
+                                     const Limits& limits) const {
   TimeUs until = replica.cold_until;
-  if (replica.back_at > 0) {
-    until = std::max(until, replica.back_at + limits.cold_start +
-                                kNewsBeats * replica_beat_);
+  if (replica.evacuation_ended_at > 0) {
+    until = std::max(until, replica.evacuation_ended_at + limits.cold_start +
+                                kNewsHeartbeats * replica_heartbeat_period_);
   }
   return until;
 }
 
-bool ColdLimit::IsBounded(TimeUs now, const ReplicaEntry& replica) const {
-  if (replica.cold_until == 0 && replica.back_at == 0) {
+bool ColdReplicaLimiter::IsBounded(TimeUs now,
+                                   const ReplicaEntry& replica) const {
+  if (replica.cold_until == 0 && replica.evacuation_ended_at == 0) {
     return false;  // Most are: a choice asks this of every replica.
   }
   const Limits* limits = LimitsOf(replica);
   return limits != nullptr && now < ColdUntil(replica, *limits) + kWarmUp;
 }
 
-bool ColdLimit::Takes(TimeUs now, const ReplicaEntry& replica) {
+bool ColdReplicaLimiter::Takes(TimeUs now, const ReplicaEntry& replica) {
   if (!IsBounded(now, replica)) {
     return true;
   }
@@ -70,9 +72,9 @@
          PartOf(replica.id, &recent, total);
 }
 
-std::size_t ColdLimit::PartOf(const ReplicaId& replica,
-                              Recent* recent,
-                              double total) {
+std::size_t ColdReplicaLimiter::PartOf(const ReplicaId& replica,
+                                       Recent* recent,
+                                       double total) {
   const auto whole = static_cast<std::size_t>(total);
   if (gateways_.empty()) {
     return 0;
@@ -87,7 +89,7 @@
   return recent->rank < whole ? 1 : 0;
 }
 
-std::size_t ColdLimit::RankFor(const ReplicaId& replica) const {
+std::size_t ColdReplicaLimiter::RankFor(const ReplicaId& replica) const {
   const double own = RendezvousWeight(replica.name, self_, 1);
   const auto before =
       std::count_if(gateways_.begin(), gateways_.end(), [&](const NodeId& it) {
@@ -96,7 +98,7 @@
   return static_cast<std::size_t>(before);
 }
 
-void ColdLimit::OnSent(const ReplicaEntry& replica) {
+void ColdReplicaLimiter::OnSent(const ReplicaEntry& replica) {
   if (LimitsOf(replica) != nullptr) {
     ++recent_[replica.id].on_their_way;
   }
@@ -104,7 +106,7 @@
 
 // What was sent while the replica was warm counts too: it may turn cold within
 // the same second.
-void ColdLimit::OnArrived(TimeUs now, const ReplicaEntry& replica) {
+void ColdReplicaLimiter::OnArrived(TimeUs now, const ReplicaEntry& replica) {
   const auto it = recent_.find(replica.id);
   if (it == recent_.end()) {
     return;
@@ -115,13 +117,13 @@
   recent.Forget(now);
 }
 
-void ColdLimit::Recent::Forget(TimeUs now) {
+void ColdReplicaLimiter::Recent::Forget(TimeUs now) {
   while (!arrived.empty() && now - arrived.front() > kWindow) {
     arrived.pop_front();
   }
 }
 
-void ColdLimit::OnNotSent(const ReplicaEntry& replica) {
+void ColdReplicaLimiter::OnNotSent(const ReplicaEntry& replica) {
   if (const auto it = recent_.find(replica.id); it != recent_.end()) {
     it->second.on_their_way -= std::min(it->second.on_their_way, 1U);
   }
--- a/src/coordination/choice/cold_limit.h
+++ b/src/coordination/choice/cold_replica_limiter.h
@@ -19,8 +19,8 @@
 //
 // Afterwards the bound doubles by steps until it is lifted (slow start), so
 // that the last request held back and the first at full rate do not meet.
-#ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_LIMIT_H_
-#define ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_LIMIT_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_REPLICA_LIMITER_H_
+#define ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_REPLICA_LIMITER_H_
 
 #include <cstdint>
 #include <deque>
@@ -35,7 +35,7 @@
 
 namespace acaciachute {
 
-class ColdLimit {
+class ColdReplicaLimiter {
  public:
   // The bound counts arrivals in any span of this length.
   static constexpr DurationUs kWindow = kSecond;
@@ -45,11 +45,12 @@
   static constexpr DurationUs kDouble = 250 * kMillisecond;
   // Beats of a replica until its row tells that it is cold: one that was just
   // written, and one for its way here.
-  static constexpr DurationUs kNewsBeats = 2;
+  static constexpr DurationUs kNewsHeartbeats = 2;
 
-  explicit ColdLimit(NodeId self) : self_(std::move(self)) {}
+  explicit ColdReplicaLimiter(NodeId self) : self_(std::move(self)) {}
 
-  void SetBound(const ColdBound& bound, DurationUs replica_beat);
+  void SetBound(const ColdRateBound& bound,
+                DurationUs replica_heartbeat_period);
   void SetServices(const ServingConfig& config);
   // All gateways that may send requests, this one included; empty: it does not
   // know the others well enough to send any.
@@ -92,8 +93,8 @@
   std::size_t RankFor(const ReplicaId& replica) const;
 
   const NodeId self_;
-  ColdBound bound_;
-  DurationUs replica_beat_ = 0;
+  ColdRateBound bound_;
+  DurationUs replica_heartbeat_period_ = 0;
   absl::flat_hash_map<std::string, Limits> services_;
   std::vector<NodeId> gateways_;
   std::uint64_t generation_ = 1;  // Of `gateways_`.
@@ -102,4 +103,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_LIMIT_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_CHOICE_COLD_REPLICA_LIMITER_H_
--- a/src/coordination/choice/engine_choice.cc
+++ b/src/coordination/choice/engine_choice.cc
@@ -15,7 +15,7 @@
 }  // namespace
 
 EngineChoice::EngineChoice(const ReplicaDirectory* directory,
-                           ColdLimit* cold,
+                           ColdReplicaLimiter* cold,
                            Random* random)
     : directory_(directory), cold_(cold), random_(random) {}
 
--- a/src/coordination/choice/engine_choice.h
+++ b/src/coordination/choice/engine_choice.h
@@ -22,8 +22,8 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "absl/container/flat_hash_set.h"
-#include "coordination/choice/cold_limit.h"
-#include "state/client_call.h"
+#include "coordination/choice/cold_replica_limiter.h"
+#include "state/client_request.h"
 #include "state/random.h"
 #include "state/replica_directory.h"
 #include "state/replica_health.h"
@@ -70,7 +70,7 @@
   static constexpr std::size_t kPartsRemembered = 4096;
 
   EngineChoice(const ReplicaDirectory* directory,
-               ColdLimit* cold,
+               ColdReplicaLimiter* cold,
                Random* random);
 
   // Null when no engine outside `tried` takes work.
@@ -128,7 +128,7 @@
   EngineLoad LoadOf(const ReplicaId& replica) const;
 
   const ReplicaDirectory* const directory_;
-  ColdLimit* const cold_;
+  ColdReplicaLimiter* const cold_;
   Random* const random_;
   absl::flat_hash_map<ReplicaId, Engine> engines_;
   std::map<ReplicaId, EngineLoad> own_;
--- a/src/coordination/choice/plain_choice.cc
+++ b/src/coordination/choice/plain_choice.cc
@@ -6,7 +6,7 @@
 namespace acaciachute {
 
 PlainChoice::PlainChoice(const ReplicaDirectory* directory,
-                         ColdLimit* cold,
+                         ColdReplicaLimiter* cold,
                          Random* random)
     : directory_(directory), cold_(cold), random_(random) {}
 
--- a/src/coordination/choice/plain_choice.h
+++ b/src/coordination/choice/plain_choice.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/choice/cold_limit.h"
+#include "coordination/choice/cold_replica_limiter.h"
 #include "state/random.h"
 #include "state/replica_directory.h"
 #include "state/replica_health.h"
@@ -35,7 +35,7 @@
   static constexpr DurationUs kUnknown = 20 * kMillisecond;
 
   PlainChoice(const ReplicaDirectory* directory,
-              ColdLimit* cold,
+              ColdReplicaLimiter* cold,
               Random* random);
 
   // Null when no replica outside `tried` takes work.
@@ -67,7 +67,7 @@
                const std::string& domain);
 
   const ReplicaDirectory* const directory_;
-  ColdLimit* const cold_;
+  ColdReplicaLimiter* const cold_;
   Random* const random_;
   std::map<ReplicaId, State> states_;
   double typical_ = static_cast<double>(kUnknown);
--- a/src/coordination/gateway/evacuations.cc
+++ b/src/coordination/gateway/evacuations.cc
@@ -4,7 +4,7 @@
 
 namespace acaciachute {
 
-void Evacuations::Tell(const EvacuationOrder& order, std::string_view state) {
+void Evacuations::Tell(const EvacuationRow& order, std::string_view state) {
   metrics_->Count("acaciachute_gateway_evacuations_total", state);
   log_->Write("evacuation", {{"domain", order.domain},
                              {"state", state},
@@ -12,7 +12,7 @@
                              {"replicas", directory_->CountIn(order.domain)}});
 }
 
-Evacuations::Known* Evacuations::NewsOf(const EvacuationOrder& order) {
+Evacuations::Known* Evacuations::NewsOf(const EvacuationRow& order) {
   Known& known = known_[order.domain];
   if (order.version < known.version) {
     log_->Write("evacuation_passed_over", {{"domain", order.domain},
@@ -24,7 +24,7 @@
   return &known;
 }
 
-bool Evacuations::OnOrder(const EvacuationOrder& order) {
+bool Evacuations::OnOrder(const EvacuationRow& order) {
   Known* known = NewsOf(order);
   if (known == nullptr || known->in_force) {
     return false;  // Ordered again: nothing changes but the version.
@@ -35,28 +35,28 @@
   return true;
 }
 
-void Evacuations::OnTakenBack(TimeUs now, const EvacuationOrder& order) {
+void Evacuations::OnEvacuationEnded(TimeUs now, const EvacuationRow& order) {
   Known* known = NewsOf(order);
   if (known == nullptr || !known->in_force) {
     return;
   }
   known->in_force = false;
-  directory_->TakeBack(now, order.domain);
+  directory_->EndEvacuation(now, order.domain);
   Tell(order, "taken_back");
 }
 
 bool Evacuations::OnTable(TimeUs now,
-                          const std::vector<EvacuationOrder>& orders,
+                          const std::vector<EvacuationRow>& orders,
                           std::uint64_t version) {
   bool emptied = false;
   std::set<std::string> standing;
-  for (const EvacuationOrder& it : orders) {
+  for (const EvacuationRow& it : orders) {
     standing.insert(it.domain);
     emptied = OnOrder(it) || emptied;
   }
   for (const auto& [domain, known] : known_) {
     if (known.in_force && !standing.contains(domain)) {
-      OnTakenBack(now, {domain, version});
+      OnEvacuationEnded(now, {domain, version});
     }
   }
   return emptied;
--- a/src/coordination/gateway/evacuations.h
+++ b/src/coordination/gateway/evacuations.h
@@ -23,7 +23,7 @@
 namespace acaciachute {
 
 // A row of the operator's: the failure domain is to be empty while it stands.
-struct EvacuationOrder {
+struct EvacuationRow {
   std::string domain;
   std::uint64_t version = 0;  // Of the row, or of its removal.
 };
@@ -34,12 +34,12 @@
       : directory_(directory), metrics_(metrics), log_(log) {}
 
   // Each returns whether another failure domain is empty now.
-  bool OnOrder(const EvacuationOrder& order);
+  bool OnOrder(const EvacuationRow& order);
   // All orders that stand at `version` of the table; the others were removed.
   bool OnTable(TimeUs now,
-               const std::vector<EvacuationOrder>& orders,
+               const std::vector<EvacuationRow>& orders,
                std::uint64_t version);
-  void OnTakenBack(TimeUs now, const EvacuationOrder& order);
+  void OnEvacuationEnded(TimeUs now, const EvacuationRow& order);
 
  private:
   struct Known {
@@ -48,8 +48,8 @@
   };
 
   // Null, with a line in the log, when more than the order's version is known.
-  Known* NewsOf(const EvacuationOrder& order);
-  void Tell(const EvacuationOrder& order, std::string_view state);
+  Known* NewsOf(const EvacuationRow& order);
+  void Tell(const EvacuationRow& order, std::string_view state);
 
   ReplicaDirectory* const directory_;
   Metrics* const metrics_;
--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -8,22 +8,22 @@
 namespace acaciachute {
 
 Gateway::Impl::Impl(GatewayOptions options_in,
-                    GatewayPorts* ports_in,
-                    PieceDesk* desk_in,
+                    GatewayOutput* output_in,
+                    PieceDispatcher* dispatcher_in,
                     const ReplicaDirectory* directory_in,
                     Random* random_in,
                     Metrics* metrics_in,
                     EventLog* log_in)
     : options(std::move(options_in)),
-      ports(ports_in),
-      desk(desk_in),
+      output(output_in),
+      dispatcher(dispatcher_in),
       directory(directory_in),
       random(random_in),
       metrics(metrics_in),
       log(log_in),
       cold(options.node),
       engines(directory_in, &cold, random_in) {
-  cold.SetBound(options.cold, options.replica_beat);
+  cold.SetBound(options.cold, options.replica_heartbeat_period);
 }
 
 ServingRequest* Gateway::Impl::ByExchange(ExchangeId id) {
@@ -44,18 +44,18 @@
   return *choice;
 }
 
-AttemptBudget& Gateway::Impl::Budget(const std::string& service) {
+ServiceRetryBudget& Gateway::Impl::Budget(const std::string& service) {
   const auto [it, inserted] = budgets.try_emplace(service);
   if (inserted) {
     it->second.SetLimits(options.budget);
-    it->second.SetEntries(entries);
+    it->second.SetGatewayCount(gateway_count);
   }
   return it->second;
 }
 
 void Gateway::Impl::RefuseAtOnce(ExchangeId id,
-                                 const ClientCall& call,
-                                 OwnAnswer answer) {
+                                 const ClientRequest& call,
+                                 LocalReply answer) {
   metrics->Count("acaciachute_gateway_refused_total", Name(answer.reason));
   log->Write(
       "refused",
@@ -64,14 +64,15 @@
        {"verdict", Name(answer.verdict)},
        {"detail", answer.detail},
        {"retry_after_ms", answer.retry_after / kMillisecond},
-       {"another_is_current", another_is_current},
+       {"another_is_current", peer_can_check_keys},
        {"config", config ? config->version : 0},
-       {"config_age_ms",
-        confirmed_at < 0 ? -1 : (ports->Now() - confirmed_at) / kMillisecond}});
-  ports->Refuse(id, answer);
+       {"config_age_ms", confirmed_at < 0
+                             ? -1
+                             : (output->Now() - confirmed_at) / kMillisecond}});
+  output->Refuse(id, answer);
 }
 
-void Gateway::Impl::Refuse(ServingRequest* request, OwnAnswer answer) {
+void Gateway::Impl::Refuse(ServingRequest* request, LocalReply answer) {
   const ExchangeId id = request->id;
   // Failure: a try that may have run is lost, and the next one finds no replica
   // or no time. Symptom: the client is told that its request has not run. What
@@ -93,9 +94,9 @@
               {"retry_after_ms", answer.retry_after / kMillisecond}});
   Finish(request, Name(answer.reason), Info(answer.reason).http_status);
   if (begun) {
-    ports->Break(id);
+    output->Break(id);
   } else {
-    ports->Refuse(id, answer);
+    output->Refuse(id, answer);
   }
 }
 
@@ -105,10 +106,10 @@
                            int status) {
   CancelAttempt(request);
   if (!request->route->stages.empty()) {
-    desk->Drop(request->call.id);
-    desk->Free(request->progress.TakeAll());
+    dispatcher->Drop(request->call.id);
+    dispatcher->Free(request->progress.TakeAll());
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   metrics->Count("acaciachute_gateway_requests_total", outcome);
   metrics->Observe("acaciachute_gateway_request_seconds", request->route->name,
                    now - request->received_at);
@@ -170,15 +171,15 @@
 }
 
 Gateway::Gateway(GatewayOptions options,
-                 GatewayPorts* ports,
-                 PieceDesk* desk,
+                 GatewayOutput* output,
+                 PieceDispatcher* dispatcher,
                  const ReplicaDirectory* directory,
                  Random* random,
                  Metrics* metrics,
                  EventLog* log)
     : impl_(std::make_unique<Impl>(std::move(options),
-                                   ports,
-                                   desk,
+                                   output,
+                                   dispatcher,
                                    directory,
                                    random,
                                    metrics,
@@ -187,7 +188,7 @@
 
 void Gateway::SetOptions(const GatewayOptions& options) {
   impl_->options = options;
-  impl_->cold.SetBound(options.cold, options.replica_beat);
+  impl_->cold.SetBound(options.cold, options.replica_heartbeat_period);
   if (impl_->config != nullptr) {
     impl_->cold.SetServices(*impl_->config);
   }
@@ -239,14 +240,14 @@
   for (const ExchangeId id : waiting) {
     // Refusing one may end others.
     ServingRequest* request = impl_->ByExchange(id);
-    OwnAnswer refusal;
+    LocalReply refusal;
     if (request != nullptr && impl_->HasNoReplica(*request, &refusal)) {
       impl_->Refuse(request, std::move(refusal));
     }
   }
 }
 
-void Gateway::OnCall(ExchangeId id, ClientCall call) {
+void Gateway::OnCall(ExchangeId id, ClientRequest call) {
   impl_->Admit(id, std::move(call));
 }
 
@@ -260,14 +261,14 @@
   auto* request = impl_->ByExchange(id);
   if (request != nullptr && request->attempt.paused) {
     request->attempt.paused = false;
-    impl_->ports->SetReading(request->attempt.call, true);
+    impl_->output->SetReading(request->attempt.call, true);
   }
 }
 
 void Gateway::OnReplicaConnected(CallId id) {
   if (ServingRequest* request = impl_->ByCall(id)) {
     Attempt& attempt = request->attempt;
-    attempt.connect = impl_->ports->Now() - attempt.sent_at;
+    attempt.connect = impl_->output->Now() - attempt.sent_at;
     impl_->metrics->Observe("acaciachute_gateway_connect_seconds",
                             request->service, attempt.connect);
   }
@@ -298,7 +299,7 @@
   const auto it = impl_->by_client_id.find(result.key.request);
   if (it == impl_->by_client_id.end()) {
     if (!result.handle.empty()) {
-      impl_->desk->Free({result.handle});
+      impl_->dispatcher->Free({result.handle});
     }
     return;
   }
@@ -318,11 +319,11 @@
   }
   if (request->progress.OnMade(result.key.stage, result.key.piece,
                                result.handle)) {
-    const DurationUs after = impl_->ports->Now() - request->received_at;
+    const DurationUs after = impl_->output->Now() - request->received_at;
     request->stage_times += StrCat(request->stage_times.empty() ? "" : " ",
                                    result.key.stage, ":", after / kMillisecond);
   }
-  impl_->desk->Free(request->progress.TakeUnneeded());
+  impl_->dispatcher->Free(request->progress.TakeUnneeded());
   impl_->RunStages(request);
 }
 
@@ -348,16 +349,16 @@
 void Gateway::OnTick() {
   impl_->BeginParked();
   impl_->RetryAwaiting();
-  const TimeUs now = impl_->ports->Now();
+  const TimeUs now = impl_->output->Now();
   while (!impl_->deadlines.empty() && impl_->deadlines.begin()->first <= now) {
     impl_->Expire(impl_->ByExchange(impl_->deadlines.begin()->second));
   }
 }
 
-void Gateway::SetEntries(std::size_t n) {
-  impl_->entries = n;
+void Gateway::SetGatewayCount(std::size_t n) {
+  impl_->gateway_count = n;
   for (auto& [service, budget] : impl_->budgets) {
-    budget.SetEntries(n);
+    budget.SetGatewayCount(n);
   }
 }
 
@@ -365,20 +366,20 @@
   impl_->cold.SetGateways(std::move(gateways));
 }
 
-void Gateway::SetAnotherIsCurrent(bool current) {
-  impl_->another_is_current = current;
+void Gateway::SetPeerCanCheckKeys(bool can_check_keys) {
+  impl_->peer_can_check_keys = can_check_keys;
 }
 
 EngineChoice* Gateway::engines() {
   return &impl_->engines;
 }
-AttemptBudget* Gateway::BudgetOf(const std::string& service) {
+ServiceRetryBudget* Gateway::RetryBudgetOf(const std::string& service) {
   return &impl_->Budget(service);
 }
 bool Gateway::configured() const {
   return impl_->config != nullptr;
 }
-bool Gateway::current() const {
+bool Gateway::can_check_keys() const {
   return impl_->config != nullptr &&
          (!impl_->config->needs_keys || impl_->Current());
 }
--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -6,7 +6,7 @@
 // when no byte of it left, when the replica itself said that it did not run it,
 // or when its route allows repeats. A refusal that says "not run" is given in
 // these cases only. Everything here is without I/O; time, connections and
-// timers come through `GatewayPorts`, so that a failure is a short test.
+// timers come through `GatewayOutput`, so that a failure is a short test.
 #ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_GATEWAY_H_
 #define ACACIACHUTE_SRC_COORDINATION_GATEWAY_GATEWAY_H_
 
@@ -18,9 +18,9 @@
 #include <vector>
 
 #include "coordination/choice/engine_choice.h"
-#include "coordination/gateway/attempt_budget.h"
-#include "coordination/stages/piece_desk.h"
-#include "state/client_call.h"
+#include "coordination/gateway/service_retry_budget.h"
+#include "coordination/stages/piece_dispatcher.h"
+#include "state/client_request.h"
 #include "state/event_log.h"
 #include "state/metrics.h"
 #include "state/random.h"
@@ -31,7 +31,7 @@
 namespace acaciachute {
 
 // This system's own answer to a client, in place of a replica's.
-struct OwnAnswer {
+struct LocalReply {
   Refusal reason = Refusal::kNone;
   Verdict verdict = Verdict::kNotRun;
   DurationUs retry_after = 0;  // Zero: a later try does not help.
@@ -39,8 +39,8 @@
 };
 
 // One attempt of a request at one replica.
-struct SendOrder {
-  const ClientCall* call = nullptr;
+struct AttemptRequest {
+  const ClientRequest* call = nullptr;
   ReplicaId replica;
   Address address;
   DurationUs time_left = 0;
@@ -56,13 +56,13 @@
   std::optional<std::size_t> most_idle_connections;
 };
 
-class GatewayPorts {
+class GatewayOutput {
  public:
-  virtual ~GatewayPorts() = default;
+  virtual ~GatewayOutput() = default;
   // Counts on while the host is suspended, because clients' deadlines do.
   virtual TimeUs Now() = 0;
 
-  virtual void Refuse(ExchangeId id, const OwnAnswer& answer) = 0;
+  virtual void Refuse(ExchangeId id, const LocalReply& answer) = 0;
   virtual void Answer(ExchangeId id,
                       const ReplicaHead& head,
                       std::string_view body) = 0;
@@ -73,7 +73,7 @@
   // Bytes that the client has not taken yet.
   virtual std::size_t Unsent(ExchangeId id) = 0;
 
-  virtual CallId Send(const SendOrder& order) = 0;
+  virtual CallId Send(const AttemptRequest& attempt) = 0;
   virtual void Cancel(CallId id) = 0;
   virtual void SetReading(CallId id, bool reading) = 0;
 };
@@ -83,9 +83,9 @@
   std::string domain;  // Failure domain of this host.
   // A key is used only while the configuration was confirmed this recently.
   DurationUs key_age = 4 * kSecond;
-  AttemptBudgetLimits budget;
-  ColdBound cold;
-  DurationUs replica_beat = 1200 * kMillisecond;
+  ServiceRetryBudgetLimits budget;
+  ColdRateBound cold;
+  DurationUs replica_heartbeat_period = 1200 * kMillisecond;
   bool operator==(const GatewayOptions&) const = default;
 };
 
@@ -114,8 +114,8 @@
   static constexpr DurationUs kLink = 3 * kMillisecond;
 
   Gateway(GatewayOptions options,
-          GatewayPorts* ports,
-          PieceDesk* desk,
+          GatewayOutput* output,
+          PieceDispatcher* dispatcher,
           const ReplicaDirectory* directory,
           Random* random,
           Metrics* metrics,
@@ -134,7 +134,7 @@
   // for and that none has begun.
   void OnEvacuated();
 
-  void OnCall(ExchangeId id, ClientCall call);
+  void OnCall(ExchangeId id, ClientRequest call);
   void OnGone(ExchangeId id);
   void OnWritten(ExchangeId id);
 
@@ -154,18 +154,18 @@
   // Ends what is over its time; call it every 10 ms.
   void OnTick();
 
-  void SetEntries(std::size_t n);
-  // See `ColdLimit::SetGateways`.
+  void SetGatewayCount(std::size_t n);
+  // See `ColdReplicaLimiter::SetGateways`.
   void SetKnownGateways(std::vector<NodeId> gateways);
   // Whether another entry may check keys: clients that are refused because this
   // one may not are sent there.
-  void SetAnotherIsCurrent(bool current);
+  void SetPeerCanCheckKeys(bool can_check_keys);
   EngineChoice* engines();
   // The retry budget of a service, which its batched pieces share.
-  AttemptBudget* BudgetOf(const std::string& service);
+  ServiceRetryBudget* RetryBudgetOf(const std::string& service);
   bool configured() const;
   // Whether keys may be used now.
-  bool current() const;
+  bool can_check_keys() const;
   std::size_t in_progress() const;
 
  private:
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -48,13 +48,13 @@
 // while the configuration was confirmed within `key_age`, by a clock that goes
 // on while the host is suspended, and from when the question was sent.
 bool Gateway::Impl::Current() const {
-  return confirmed_at >= 0 && ports->Now() - confirmed_at <= options.key_age;
+  return confirmed_at >= 0 && output->Now() - confirmed_at <= options.key_age;
 }
 
 bool Gateway::Impl::FindAccount(const Route& route,
-                                const ClientCall& call,
+                                const ClientRequest& call,
                                 const ClientAccount** account,
-                                OwnAnswer* refusal) {
+                                LocalReply* refusal) {
   if (!config->needs_keys || route.anonymous) {
     return true;
   }
@@ -79,8 +79,8 @@
 // tries; the longest wait that clients honour, a third of their time, gives the
 // store the most time to return. Spread, so that they do not come together.
 DurationUs Gateway::Impl::RetryAfterNotCurrent(const Route& route,
-                                               const ClientCall& call) {
-  if (another_is_current) {
+                                               const ClientRequest& call) {
+  if (peer_can_check_keys) {
     return kElsewhere;
   }
   return RetryAfterLongest(call.deadline > 0
@@ -99,7 +99,7 @@
 // their stages made for a replica that is not there, until their clients leave.
 // Stages that are made already need no replica any more.
 bool Gateway::Impl::HasNoReplica(const ServingRequest& request,
-                                 OwnAnswer* refusal) {
+                                 LocalReply* refusal) {
   std::string_view missing;
   if (directory->Of(request.service).empty()) {
     missing = request.service;
@@ -115,7 +115,7 @@
     return false;
   }
   *refusal = {Refusal::kNoReplica, Verdict::kNotRun,
-              RetryAfterLongest(request.answer_by - ports->Now()),
+              RetryAfterLongest(request.answer_by - output->Now()),
               StrCat("no replica of ", missing, " takes work")};
   return true;
 }
@@ -135,7 +135,7 @@
   return route.split.empty() ? std::string() : route.split.front().service;
 }
 
-void Gateway::Impl::Admit(ExchangeId id, ClientCall call) {
+void Gateway::Impl::Admit(ExchangeId id, ClientRequest call) {
   if (config == nullptr) {
     RefuseAtOnce(id, call,
                  {Refusal::kNotCurrent, Verdict::kNotRun, kSecond,
@@ -154,12 +154,12 @@
     return;
   }
   const ClientAccount* account = nullptr;
-  OwnAnswer refusal;
+  LocalReply refusal;
   if (!FindAccount(*route, call, &account, &refusal)) {
     RefuseAtOnce(id, call, refusal);
     return;
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   auto request =
       std::make_unique<ServingRequest>(id, std::move(call), config, route);
   request->account = account;
@@ -176,7 +176,7 @@
   request->answer_by = request->deadline_at;
   if (route->kind == RouteKind::kStream) {
     request->answer_by =
-        std::min(request->answer_by, now + route->FirstEventPatience() - kLink);
+        std::min(request->answer_by, now + route->FirstEventTimeout() - kLink);
   }
   request->resume_after = request->call.resume_after;
   request->admission = HasNoReplica(*request, &refusal)
@@ -204,7 +204,7 @@
 // A client that comes back after a refusal has less time left than its route's
 // clients usually give; no field says so.
 DurationUs Gateway::Impl::ElapsedBefore(const Route& route,
-                                        const ClientCall& call) {
+                                        const ClientRequest& call) {
   auto& usual = usual_deadline[route.name];
   const auto deadline = static_cast<double>(call.deadline);
   if (usual == 0) {
@@ -221,14 +221,14 @@
 
 Gateway::Impl::StageWaits Gateway::Impl::WaitsOf(
     const ServingRequest& request) const {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   StageWaits waits;
   for (std::uint32_t n = 0; n < request.route->stages.size(); ++n) {
     if (request.progress.Pieces(n) == 0) {
       continue;
     }
-    const PoolWait wait =
-        desk->ExpectedWait(now, request.route->stages[n].service);
+    const QueueWait wait =
+        dispatcher->ExpectedWait(now, request.route->stages[n].service);
     waits.in_time += wait.Of(request.priority);
     waits.late = std::max(waits.late, wait.late);
   }
@@ -243,11 +243,11 @@
 // time after the burst is likely to serve are parked before any work is done
 // for them, so that they hold no memory; what is left is refused, and told when
 // the queue will be shorter.
-Admission Gateway::Impl::Decide(ServingRequest* request, OwnAnswer* refusal) {
+Admission Gateway::Impl::Decide(ServingRequest* request, LocalReply* refusal) {
   if (request->route->stages.empty()) {
     return Admission::kInTime;
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const auto [in_time, late, work] = WaitsOf(*request);
   request->expected_wait = in_time;
   if (now + in_time + work <= request->target_by) {
@@ -282,7 +282,7 @@
 }
 
 void Gateway::Impl::BeginParked() {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   if (parked.empty() || now < next_parked_at) {
     return;
   }
@@ -312,7 +312,7 @@
   constexpr DurationUs kSpread = 700 * kMillisecond;
   const DurationUs wait =
       kLeast + static_cast<DurationUs>(random->Below(kSpread));
-  const DurationUs left = request.answer_by - ports->Now();
+  const DurationUs left = request.answer_by - output->Now();
   return left > wait ? wait : 0;
 }
 
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -13,7 +13,7 @@
 }
 
 const ReplicaEntry* Gateway::Impl::ChooseReplica(ServingRequest* request) {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const bool repeat = request->route->MayRepeat();
   if (IsEngine(*request)) {
     return engines.Choose(now, request->service, request->ForEngine(),
@@ -42,19 +42,20 @@
 
 void Gateway::Impl::SendTo(ServingRequest* request,
                            const ReplicaEntry& replica) {
-  const TimeUs now = ports->Now();
-  SendOrder order;
-  order.call = &request->call;
-  order.replica = replica.id;
-  order.address = replica.address;
-  order.time_left = request->deadline_at - now;
-  order.account = request->account != nullptr ? request->account->name : "";
-  order.inputs = request->progress.FinalResults();
-  order.resume_after = request->resume_after;
-  order.may_repeat = request->route->MayRepeat();
-  order.most_idle_connections = MostIdleConnections(*request);
+  const TimeUs now = output->Now();
+  AttemptRequest attempt_request;
+  attempt_request.call = &request->call;
+  attempt_request.replica = replica.id;
+  attempt_request.address = replica.address;
+  attempt_request.time_left = request->deadline_at - now;
+  attempt_request.account =
+      request->account != nullptr ? request->account->name : "";
+  attempt_request.inputs = request->progress.FinalResults();
+  attempt_request.resume_after = request->resume_after;
+  attempt_request.may_repeat = request->route->MayRepeat();
+  attempt_request.most_idle_connections = MostIdleConnections(*request);
   if (IsEngine(*request)) {
-    order.priority = request->priority;
+    attempt_request.priority = request->priority;
     engines.OnSent(replica.id, request->ForEngine());
   } else {
     Plain(request->service).OnSent(now, replica.id);
@@ -67,7 +68,7 @@
   request->attempt.list_age = directory->Age(now);
   metrics->Observe("acaciachute_gateway_replica_list_age_seconds",
                    request->service, request->attempt.list_age);
-  request->attempt.call = ports->Send(order);
+  request->attempt.call = output->Send(attempt_request);
   by_call[request->attempt.call] = request;
 }
 
@@ -75,7 +76,7 @@
   if (request.tried.size() >= kMostReplicas) {
     return false;
   }
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const auto& replicas = directory->Of(request.service);
   return std::any_of(
       replicas.begin(), replicas.end(), [&](const ReplicaEntry* it) {
@@ -97,7 +98,7 @@
   log->Write("awaits_cold", {{"id", request->call.id},
                              {"service", request->service},
                              {"waiting", awaiting_cold.size()}});
-  SetDue(request, std::min(request->answer_by, ports->Now() + kMostColdWait));
+  SetDue(request, std::min(request->answer_by, output->Now() + kMostColdWait));
 }
 
 void Gateway::Impl::RetryAwaiting() {
@@ -128,7 +129,7 @@
   }
   return static_cast<std::size_t>(
       kIdleShare * static_cast<double>(service->max_connections) /
-      static_cast<double>(entries));
+      static_cast<double>(gateway_count));
 }
 
 void Gateway::Impl::OnHead(ServingRequest* request, ReplicaHead head) {
@@ -164,21 +165,21 @@
     attempt.read = true;
     engines.OnFirstEvent(attempt.replica.id, request->ForEngine());
     // The replica fetched its inputs before it read the prompt.
-    desk->Free(request->progress.TakeAll());
+    dispatcher->Free(request->progress.TakeAll());
   }
   if (!request->begun) {
     request->begun = true;
-    request->begun_at = ports->Now();
+    request->begun_at = output->Now();
     SetDue(request, request->deadline_at);
     metrics->Observe("acaciachute_gateway_first_event_seconds",
                      request->route->name,
                      request->begun_at - request->received_at);
-    ports->BeginStream(request->id, *attempt.head);
+    output->BeginStream(request->id, *attempt.head);
   }
-  ports->StreamData(request->id, events);
-  if (!attempt.paused && ports->Unsent(request->id) > kMostUnsent) {
+  output->StreamData(request->id, events);
+  if (!attempt.paused && output->Unsent(request->id) > kMostUnsent) {
     attempt.paused = true;
-    ports->SetReading(attempt.call, false);
+    output->SetReading(attempt.call, false);
   }
 }
 
@@ -208,13 +209,13 @@
   engines.OnSuccess(attempt.replica.id);
   ++request->runs;
   EndAttempt(request);
-  ports->EndStream(request->id);
+  output->EndStream(request->id);
   Finish(request, Name(Verdict::kAnswered), head.status);
 }
 
 void Gateway::Impl::AnswerWhole(ServingRequest* request) {
   const Attempt attempt = request->attempt;
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const bool failed = attempt.head->status >= 500;
   if (!IsEngine(*request)) {
     Plain(request->service).OnAnswer(now, attempt.replica.id, attempt.sent_at);
@@ -232,7 +233,7 @@
     StartAttempt(request);
     return;
   }
-  ports->Answer(request->id, *attempt.head, attempt.body);
+  output->Answer(request->id, *attempt.head, attempt.body);
   Finish(request, failed ? "replica_failed" : Name(Verdict::kAnswered),
          attempt.head->status);
 }
@@ -241,7 +242,7 @@
   return request.route->MayRepeat() &&
          request.runs < request.route->max_attempts &&
          request.tried.size() < kMostReplicas &&
-         ports->Now() < request.deadline_at;
+         output->Now() < request.deadline_at;
 }
 
 // The replica itself said so, or no byte of the request left.
@@ -257,7 +258,7 @@
     RestartStages(request, "the replica found a result gone");
     return;
   }
-  if (attempt.head && !Budget(request->service).Take(ports->Now())) {
+  if (attempt.head && !Budget(request->service).Take(output->Now())) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
                      "the replica refused, and the retry budget is spent"});
     return;
@@ -269,7 +270,7 @@
 void Gateway::Impl::OnMayHaveRun(ServingRequest* request,
                                  std::string_view why) {
   ++request->runs;
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   log->Write("lost", {{"id", request->call.id},
                       {"replica", request->attempt.replica.id.name},
                       {"why", why},
@@ -296,7 +297,7 @@
                              bool sent,
                              std::string_view why) {
   const Attempt attempt = request->attempt;
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   if (IsEngine(*request)) {
     engines.OnFailure(now, attempt.replica.id);
   } else {
@@ -330,7 +331,7 @@
   for (const CallId call : calls) {
     // One that failed before it may have ended this one's request.
     if (ServingRequest* request = ByCall(call)) {
-      ports->Cancel(call);
+      output->Cancel(call);
       OnFailed(request, true, "the replica started again");
     }
   }
@@ -340,7 +341,7 @@
   Attempt& attempt = request->attempt;
   if (!attempt.arrived) {
     attempt.arrived = true;
-    cold.OnArrived(ports->Now(), attempt.replica);
+    cold.OnArrived(output->Now(), attempt.replica);
   }
 }
 
@@ -362,7 +363,7 @@
 
 void Gateway::Impl::CancelAttempt(ServingRequest* request) {
   if (request->attempt.call != 0) {
-    ports->Cancel(request->attempt.call);
+    output->Cancel(request->attempt.call);
     EndAttempt(request);
   }
 }
--- a/src/coordination/gateway/gateway_impl.h
+++ b/src/coordination/gateway/gateway_impl.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "coordination/choice/cold_limit.h"
+#include "coordination/choice/cold_replica_limiter.h"
 #include "coordination/choice/plain_choice.h"
 #include "coordination/gateway/event_splitter.h"
 #include "coordination/gateway/gateway.h"
@@ -31,7 +31,7 @@
   std::optional<ReplicaHead> head;
   std::string body;      // Of a plain answer, until it is whole.
   bool read = false;     // The first event came.
-  bool arrived = false;  // The replica has it; see `ColdLimit`.
+  bool arrived = false;  // The replica has it; see `ColdReplicaLimiter`.
   bool paused = false;
 };
 
@@ -53,7 +53,7 @@
 
 struct ServingRequest {
   ServingRequest(ExchangeId id_in,
-                 ClientCall call_in,
+                 ClientRequest call_in,
                  std::shared_ptr<const ServingConfig> config_in,
                  const Route* route_in)
       : id(id_in),
@@ -67,7 +67,7 @@
   }
 
   const ExchangeId id;
-  const ClientCall call;
+  const ClientRequest call;
   const std::shared_ptr<const ServingConfig> config;  // Owns `route`.
   const Route* const route;
   const ClientAccount* account = nullptr;
@@ -103,8 +103,8 @@
 
 struct Gateway::Impl {
   Impl(GatewayOptions options_in,
-       GatewayPorts* ports_in,
-       PieceDesk* desk_in,
+       GatewayOutput* output_in,
+       PieceDispatcher* dispatcher_in,
        const ReplicaDirectory* directory_in,
        Random* random_in,
        Metrics* metrics_in,
@@ -113,16 +113,16 @@
   using RequestPtr = std::unique_ptr<ServingRequest>;
 
   // gateway_admission.cc
-  void Admit(ExchangeId id, ClientCall call);
+  void Admit(ExchangeId id, ClientRequest call);
   bool FindAccount(const Route& route,
-                   const ClientCall& call,
+                   const ClientRequest& call,
                    const ClientAccount** account,
-                   OwnAnswer* refusal);
+                   LocalReply* refusal);
   // Whether a service that the request still needs has no replica that takes
   // work; fills `refusal` if so.
-  bool HasNoReplica(const ServingRequest& request, OwnAnswer* refusal);
+  bool HasNoReplica(const ServingRequest& request, LocalReply* refusal);
   // Whether the stages can be made in useful time; fills `refusal` if not.
-  Admission Decide(ServingRequest* request, OwnAnswer* refusal);
+  Admission Decide(ServingRequest* request, LocalReply* refusal);
   // Longest waits of the request's stages, and its work until the first event.
   struct StageWaits {
     DurationUs in_time = 0;
@@ -134,17 +134,18 @@
   void BeginParked();
   // How long before this request's first attempt reached a gateway its client
   // first sent it.
-  DurationUs ElapsedBefore(const Route& route, const ClientCall& call);
+  DurationUs ElapsedBefore(const Route& route, const ClientRequest& call);
   std::string ChooseService(const Route& route);
   DurationUs RetryAfter(const ServingRequest& request);
   // The longest wait that a client with `left` honours, spread below it.
   DurationUs RetryAfterLongest(DurationUs left);
   // When a client comes back that was refused because keys cannot be checked.
-  DurationUs RetryAfterNotCurrent(const Route& route, const ClientCall& call);
+  DurationUs RetryAfterNotCurrent(const Route& route,
+                                  const ClientRequest& call);
 
   // gateway_stages.cc
-  std::vector<PieceOrder> OrdersOf(const ServingRequest& request,
-                                   std::uint32_t stage) const;
+  std::vector<PieceTask> TasksOf(const ServingRequest& request,
+                                 std::uint32_t stage) const;
   // Where the pieces of `stage` are best made; empty when it does not matter.
   std::string NearDomain(const ServingRequest& request,
                          std::uint32_t stage) const;
@@ -155,8 +156,10 @@
   void RestartStages(ServingRequest* request, std::string_view why);
 
   // gateway.cc: ends.
-  void Refuse(ServingRequest* request, OwnAnswer answer);
-  void RefuseAtOnce(ExchangeId id, const ClientCall& call, OwnAnswer answer);
+  void Refuse(ServingRequest* request, LocalReply answer);
+  void RefuseAtOnce(ExchangeId id,
+                    const ClientRequest& call,
+                    LocalReply answer);
   void Finish(ServingRequest* request, std::string_view outcome, int status);
   void Expire(ServingRequest* request);
   void SetDue(ServingRequest* request, TimeUs due_at);
@@ -189,13 +192,13 @@
   ServingRequest* ByExchange(ExchangeId id);
   ServingRequest* ByCall(CallId id);
   PlainChoice& Plain(const std::string& service);
-  AttemptBudget& Budget(const std::string& service);
+  ServiceRetryBudget& Budget(const std::string& service);
   bool IsEngine(const ServingRequest& request) const;
   bool Current() const;
 
   GatewayOptions options;
-  GatewayPorts* const ports;
-  PieceDesk* const desk;
+  GatewayOutput* const output;
+  PieceDispatcher* const dispatcher;
   const ReplicaDirectory* const directory;
   Random* const random;
   Metrics* const metrics;
@@ -203,15 +206,15 @@
 
   std::shared_ptr<const ServingConfig> config;
   TimeUs confirmed_at = -1;
-  std::size_t entries = 1;
+  std::size_t gateway_count = 1;
   bool refuses_streams = false;
-  bool another_is_current = false;
+  bool peer_can_check_keys = false;
   // By route, what nine in ten of its clients give at most, in microseconds.
   std::map<std::string, double> usual_deadline;
-  ColdLimit cold;
+  ColdReplicaLimiter cold;
   EngineChoice engines;
   std::map<std::string, std::unique_ptr<PlainChoice>> plain;
-  std::map<std::string, AttemptBudget> budgets;
+  std::map<std::string, ServiceRetryBudget> budgets;
   absl::flat_hash_map<ExchangeId, RequestPtr> requests;
   absl::flat_hash_map<CallId, ServingRequest*> by_call;
   absl::flat_hash_map<std::string, ServingRequest*> by_client_id;
--- a/src/coordination/gateway/gateway_stages.cc
+++ b/src/coordination/gateway/gateway_stages.cc
@@ -23,8 +23,8 @@
     const std::vector<std::string>& handles) const {
   std::map<std::string, int> count;
   for (const auto& it : handles) {
-    if (const ReplicaEntry* maker = directory->MakerOf(it)) {
-      ++count[maker->domain];
+    if (const ReplicaEntry* producer = directory->ProducerOf(it)) {
+      ++count[producer->domain];
     }
   }
   const auto most = std::max_element(
@@ -52,50 +52,50 @@
   return {};
 }
 
-std::vector<PieceOrder> Gateway::Impl::OrdersOf(const ServingRequest& request,
-                                                std::uint32_t stage) const {
-  const TimeUs now = ports->Now();
+std::vector<PieceTask> Gateway::Impl::TasksOf(const ServingRequest& request,
+                                              std::uint32_t stage) const {
+  const TimeUs now = output->Now();
   const StageSpec& spec = request.route->stages[stage];
-  PieceOrder order;
-  order.service = spec.service;
-  order.inputs = request.progress.InputsOf(stage);
+  PieceTask task;
+  task.service = spec.service;
+  task.inputs = request.progress.InputsOf(stage);
   if (spec.after.empty()) {
-    order.source = request.call.piece_key;
+    task.source = request.call.piece_key;
   }
   // Made later than this, the piece could not lead to an answer in time.
   const DurationUs after_this = request.progress.TimeAfter(stage) + kEngineTime;
-  order.time_left = request.answer_by - now - after_this;
-  order.waited = now - request.received_at;
-  order.time_to_begin =
+  task.time_left = request.answer_by - now - after_this;
+  task.waited = now - request.received_at;
+  task.time_to_begin =
       request.target_by - now - request.progress.TimeLeft() - kEngineTime;
   for (const std::uint32_t needed : spec.after) {
-    order.holds_bytes += request.route->stages[needed].result_bytes *
-                         request.progress.Pieces(needed);
+    task.holds_bytes += request.route->stages[needed].result_bytes *
+                        request.progress.Pieces(needed);
   }
-  order.priority = request.priority;
-  order.result_bytes = spec.result_bytes;
+  task.priority = request.priority;
+  task.result_bytes = spec.result_bytes;
   if (request.progress.OnlyUserOfItsInputs(stage)) {
-    order.sole_users = request.progress.Pieces(stage);
+    task.sole_users = request.progress.Pieces(stage);
   }
-  order.near_domain = NearDomain(request, stage);
-  order.holds_bytes /= std::max(1U, request.progress.Pieces(stage));
-  std::vector<PieceOrder> orders;
+  task.near_domain = NearDomain(request, stage);
+  task.holds_bytes /= std::max(1U, request.progress.Pieces(stage));
+  std::vector<PieceTask> tasks;
   for (std::uint32_t n = 0; n < request.progress.Pieces(stage); ++n) {
-    order.key = {request.call.id, stage, n};
-    orders.push_back(order);
+    task.key = {request.call.id, stage, n};
+    tasks.push_back(task);
   }
-  return orders;
+  return tasks;
 }
 
 void Gateway::Impl::RunStages(ServingRequest* request) {
-  const TimeUs now = ports->Now();
+  const TimeUs now = output->Now();
   const ExchangeId id = request->id;
   for (const std::uint32_t stage : request->progress.TakeReady()) {
-    std::vector<PieceOrder> orders = OrdersOf(*request, stage);
-    if (orders.empty()) {
+    std::vector<PieceTask> tasks = TasksOf(*request, stage);
+    if (tasks.empty()) {
       continue;
     }
-    desk->Submit(now, std::move(orders));
+    dispatcher->Submit(now, std::move(tasks));
     if (ByExchange(id) == nullptr) {
       return;  // Refused at once.
     }
@@ -107,7 +107,7 @@
 
 void Gateway::Impl::OnStagesDone(ServingRequest* request) {
   request->staged = true;
-  request->staged_at = ports->Now();
+  request->staged_at = output->Now();
   request->near_domain = DomainOfMost(request->progress.FinalResults());
   request->fetched_bytes = request->progress.FinalBytes();
   StartAttempt(request);
@@ -117,15 +117,15 @@
 // again when one is gone, as long as the request has time for it.
 void Gateway::Impl::RestartStages(ServingRequest* request,
                                   std::string_view why) {
-  desk->Free(request->progress.TakeAll());
-  desk->Drop(request->call.id);
+  dispatcher->Free(request->progress.TakeAll());
+  dispatcher->Drop(request->call.id);
   if (++request->restarts > kMostRestarts) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
                      "results of stages were lost too often"});
     return;
   }
   request->progress.Restart();
-  const DurationUs left = request->answer_by - ports->Now();
+  const DurationUs left = request->answer_by - output->Now();
   if (request->progress.TimeLeft() + kEngineTime > left) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
                      StrCat("no time to begin again: ", why)});
@@ -136,7 +136,7 @@
       {{"id", request->call.id},
        {"why", why},
        {"stages_ms", request->stage_times},
-       {"after_ms", (ports->Now() - request->received_at) / kMillisecond}});
+       {"after_ms", (output->Now() - request->received_at) / kMillisecond}});
   request->staged = false;
   RunStages(request);
 }
--- a/src/coordination/gateway/attempt_budget.h
+++ b/src/coordination/gateway/service_retry_budget.h
@@ -8,8 +8,8 @@
 // requests that it sent itself, so that the sum holds without messages. Half of
 // both is left unspent: an entry that restarts forgets what it has spent, and
 // the number of entries is a belief.
-#ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_ATTEMPT_BUDGET_H_
-#define ACACIACHUTE_SRC_COORDINATION_GATEWAY_ATTEMPT_BUDGET_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_SERVICE_RETRY_BUDGET_H_
+#define ACACIACHUTE_SRC_COORDINATION_GATEWAY_SERVICE_RETRY_BUDGET_H_
 
 #include <algorithm>
 #include <deque>
@@ -19,20 +19,22 @@
 
 namespace acaciachute {
 
-class AttemptBudget {
+class ServiceRetryBudget {
  public:
   static constexpr double kSpend = 0.5;
 
-  void SetLimits(const AttemptBudgetLimits& limits) { limits_ = limits; }
+  void SetLimits(const ServiceRetryBudgetLimits& limits) { limits_ = limits; }
   // Entries that are believed to share the allowance, this one included.
-  void SetEntries(std::size_t n) { entries_ = std::max<std::size_t>(1, n); }
+  void SetGatewayCount(std::size_t n) {
+    gateway_count_ = std::max<std::size_t>(1, n);
+  }
 
   void OnRequest(TimeUs now) { Add(&requests_, now, 1); }
 
   // Whether `n` repeats may be sent; they are counted if so.
   bool Take(TimeUs now, std::uint32_t n = 1) {
     const double allowed =
-        kSpend * (limits_.slack / static_cast<double>(entries_) +
+        kSpend * (limits_.slack / static_cast<double>(gateway_count_) +
                   limits_.ratio * Sum(&requests_, now));
     if (Sum(&repeats_, now) + n > allowed) {
       return false;
@@ -66,12 +68,12 @@
     return sum;
   }
 
-  AttemptBudgetLimits limits_;
-  std::size_t entries_ = 1;
+  ServiceRetryBudgetLimits limits_;
+  std::size_t gateway_count_ = 1;
   std::deque<Bucket> requests_;
   std::deque<Bucket> repeats_;
 };
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_GATEWAY_ATTEMPT_BUDGET_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_GATEWAY_SERVICE_RETRY_BUDGET_H_
--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -174,7 +174,7 @@
                                      const Event& event) const {
   for (const Stage& stage : event.stages) {
     const auto it = StageFingerprint(call.account, call.body, stage.pool);
-    if (quarantine.Of(now, it) == Standing::kConvicted) {
+    if (quarantine.Of(now, it) == QuarantineState::kConvicted) {
       return quarantine.Explain(it);
     }
   }
@@ -345,8 +345,9 @@
 }
 
 void Entry::OnRequest(TimeUs now, CallerRequest request) {
-  const Currency* currency = impl_->options.currency;
-  if (currency != nullptr && !currency->IsCurrent(now)) {
+  const SettingsFreshness* settings_freshness =
+      impl_->options.settings_freshness;
+  if (settings_freshness != nullptr && !settings_freshness->IsCurrent(now)) {
     impl_->Refuse(request, MakeRefusal(Verdict::kNotRun, Refusal::kNotCurrent));
     return;
   }
--- a/src/coordination/interface/entry.h
+++ b/src/coordination/interface/entry.h
@@ -16,7 +16,7 @@
 #include "coordination/interface/claims.h"
 #include "coordination/interface/quarantine.h"
 #include "coordination/interface/store_calls.h"
-#include "coordination/settings/currency.h"
+#include "coordination/settings/settings_freshness.h"
 #include "messages.h"
 #include "state/cost_table.h"
 #include "state/metrics.h"
@@ -42,8 +42,9 @@
 struct EntryOptions {
   NodeId node;
   Incarnation incarnation = 0;
-  std::size_t max_requests = 4096;     // In progress at once.
-  const Currency* currency = nullptr;  // Without one, always current.
+  std::size_t max_requests = 4096;  // In progress at once.
+  const SettingsFreshness* settings_freshness =
+      nullptr;  // Without one, always current.
   // Transactions on claims: this entry's share of what the table takes.
   double claim_transactions_per_second = 100;
 };
--- a/src/coordination/interface/pipeline.cc
+++ b/src/coordination/interface/pipeline.cc
@@ -71,12 +71,12 @@
 
 void Pipeline::Start(TimeUs now, EntryRequest& request) {
   const std::uint64_t fingerprint = Fingerprint(request);
-  const Standing standing = quarantine_->Of(now, fingerprint);
-  if (standing == Standing::kConvicted) {
+  const QuarantineState quarantine_state = quarantine_->Of(now, fingerprint);
+  if (quarantine_state == QuarantineState::kConvicted) {
     output_->OnPipelineFailure(now, request, Refusal::kQuarantined, 0);
     return;
   }
-  if (standing == Standing::kSuspect) {
+  if (quarantine_state == QuarantineState::kSuspect) {
     // Only a crash at another upstream tells the request from its host.
     const auto crashed_at = quarantine_->CrashedAt(fingerprint);
     request.tried.insert(request.tried.end(), crashed_at.begin(),
--- a/src/coordination/interface/quarantine.cc
+++ b/src/coordination/interface/quarantine.cc
@@ -17,7 +17,7 @@
 
 // A cleared record outlives every suspicion and conviction that it clears, so
 // that an old word cannot come back.
-constexpr std::array<DurationUs, kStandingNames.size()> kKeptFor = {
+constexpr std::array<DurationUs, kQuarantineStateNames.size()> kKeptFor = {
     Quarantine::kConvictedFor, Quarantine::kSuspectFor,
     Quarantine::kConvictedFor};
 
@@ -48,21 +48,25 @@
 
 bool Quarantine::IsOver(TimeUs now, const Entry& entry) {
   return now - entry.changed_at >=
-         kKeptFor[static_cast<std::size_t>(entry.standing)];
+         kKeptFor[static_cast<std::size_t>(entry.quarantine_state)];
 }
 
 QuarantineRecord Quarantine::ToRecord(TimeUs now,
                                       std::uint64_t fingerprint,
                                       const Entry& entry) {
-  return {fingerprint,    entry.epoch,
-          entry.standing, now - entry.changed_at,
-          entry.account,  entry.crashed_at};
+  return {fingerprint,
+          entry.epoch,
+          entry.quarantine_state,
+          now - entry.changed_at,
+          entry.account,
+          entry.crashed_at};
 }
 
-Standing Quarantine::Of(TimeUs now, std::uint64_t fingerprint) const {
+QuarantineState Quarantine::Of(TimeUs now, std::uint64_t fingerprint) const {
   const auto it = records_.find(fingerprint);
-  return it == records_.end() || IsOver(now, it->second) ? Standing::kClear
-                                                         : it->second.standing;
+  return it == records_.end() || IsOver(now, it->second)
+             ? QuarantineState::kClear
+             : it->second.quarantine_state;
 }
 
 std::vector<NodeId> Quarantine::CrashedAt(std::uint64_t fingerprint) const {
@@ -113,9 +117,9 @@
   const bool elsewhere =
       std::any_of(entry.crashed_at.begin(), entry.crashed_at.end(),
                   [&](const NodeId& it) { return it != node; });
-  entry.standing =
-      std::max(entry.standing,
-               alone && elsewhere ? Standing::kConvicted : Standing::kSuspect);
+  entry.quarantine_state = std::max(
+      entry.quarantine_state, alone && elsewhere ? QuarantineState::kConvicted
+                                                 : QuarantineState::kSuspect);
   entry.account = suspect.account.substr(0, kMostAccountSize);
   AddOnce(node, &entry.crashed_at);
 }
@@ -123,18 +127,18 @@
 void Quarantine::Clear(TimeUs now, std::uint64_t fingerprint) {
   Entry& entry = Touch(now, fingerprint);
   ++entry.epoch;
-  entry.standing = Standing::kClear;
+  entry.quarantine_state = QuarantineState::kClear;
   entry.crashed_at.clear();
 }
 
 void Quarantine::OnAnsweredApart(TimeUs now, std::uint64_t fingerprint) {
-  if (Of(now, fingerprint) == Standing::kSuspect) {
+  if (Of(now, fingerprint) == QuarantineState::kSuspect) {
     Clear(now, fingerprint);
   }
 }
 
 bool Quarantine::Lift(TimeUs now, std::uint64_t fingerprint) {
-  if (Of(now, fingerprint) == Standing::kClear) {
+  if (Of(now, fingerprint) == QuarantineState::kClear) {
     return false;
   }
   Clear(now, fingerprint);
@@ -145,10 +149,10 @@
                        const std::vector<QuarantineRecord>& records) {
   bool changed = false;
   for (const QuarantineRecord& it : records) {
-    if (it.standing > Standing::kConvicted) {
+    if (it.quarantine_state > QuarantineState::kConvicted) {
       continue;  // A standing of another build.
     }
-    const Entry theirs = {it.epoch, it.standing,
+    const Entry theirs = {it.epoch, it.quarantine_state,
                           now - std::max<DurationUs>(0, it.age), it.account,
                           it.crashed_at};
     if (it.fingerprint == 0 || IsOver(now, theirs)) {
@@ -163,7 +167,7 @@
     }
     Entry& entry = ours->second;
     const auto rank = [](const Entry& e) {
-      return std::tuple(e.epoch, e.standing);
+      return std::tuple(e.epoch, e.quarantine_state);
     };
     if (rank(theirs) > rank(entry)) {
       entry = theirs;
@@ -217,7 +221,7 @@
 std::vector<QuarantineRecord> Quarantine::All(TimeUs now) const {
   std::vector<QuarantineRecord> all;
   for (const auto& [fingerprint, entry] : records_) {
-    if (Of(now, fingerprint) != Standing::kClear) {
+    if (Of(now, fingerprint) != QuarantineState::kClear) {
       all.push_back(ToRecord(now, fingerprint, entry));
     }
   }
@@ -232,8 +236,8 @@
   }
   records_.erase(std::min_element(
       records_.begin(), records_.end(), [](const auto& a, const auto& b) {
-        return std::tie(a.second.standing, a.second.changed_at) <
-               std::tie(b.second.standing, b.second.changed_at);
+        return std::tie(a.second.quarantine_state, a.second.changed_at) <
+               std::tie(b.second.quarantine_state, b.second.changed_at);
       }));
 }
 
--- a/src/coordination/interface/quarantine.h
+++ b/src/coordination/interface/quarantine.h
@@ -58,7 +58,7 @@
     std::string account;
   };
 
-  Standing Of(TimeUs now, std::uint64_t fingerprint) const;
+  QuarantineState Of(TimeUs now, std::uint64_t fingerprint) const;
   // Upstreams that crashed with the request in progress.
   std::vector<NodeId> CrashedAt(std::uint64_t fingerprint) const;
 
@@ -89,7 +89,7 @@
  private:
   struct Entry {
     std::uint32_t epoch = 0;
-    Standing standing = Standing::kClear;
+    QuarantineState quarantine_state = QuarantineState::kClear;
     TimeUs changed_at = 0;
     std::string account;
     std::vector<NodeId> crashed_at;
--- a/src/coordination/membership/gateway_peers.cc
+++ b/src/coordination/membership/gateway_peers.cc
@@ -22,37 +22,38 @@
   }
 }
 
-bool GatewayPeers::OnBeat(TimeUs now,
-                          const NodeId& node,
-                          Incarnation incarnation,
-                          const GatewayBeat& beat) {
+bool GatewayPeers::OnGatewayHeartbeat(TimeUs now,
+                                      const NodeId& node,
+                                      Incarnation incarnation,
+                                      const GatewayHeartbeat& heartbeat) {
   Peer& peer = peers_[node];
   known_until_[node] = now + kRemember;
   if (now < peer.unreachable_until) {
     return false;
   }
-  const bool changed = !peer.live || peer.leaving != beat.leaving ||
+  const bool changed = !peer.live || peer.leaving != heartbeat.leaving ||
                        peer.incarnation != incarnation;
   if (peer.live && peer.incarnation != incarnation) {
     peer.restarted = true;
   }
-  if (beat.asks || peer.incarnation != incarnation) {
+  if (heartbeat.requests_reply || peer.incarnation != incarnation) {
     peer.promised = 0;  // It waits for this one's beat, or never had one.
   }
   peer.incarnation = incarnation;
   peer.heard_at = now;
   peer.live = true;
-  peer.leaving = beat.leaving;
-  peer.current = beat.current;
-  peer.period = std::max(beat.period, kBeat);
-  if (changed || peer.cores != beat.cores || peer.domain != beat.domain) {
+  peer.leaving = heartbeat.leaving;
+  peer.can_check_keys = heartbeat.can_check_keys;
+  peer.period = std::max(heartbeat.period, kGatewayHeartbeatPeriod);
+  if (changed || peer.cores != heartbeat.cores ||
+      peer.domain != heartbeat.domain) {
     OnChange();
   }
-  peer.cores = beat.cores;
-  peer.domain = beat.domain;
+  peer.cores = heartbeat.cores;
+  peer.domain = heartbeat.domain;
   if (changed) {
-    log_->Write("peer",
-                {{"peer", node}, {"state", beat.leaving ? "leaving" : "live"}});
+    log_->Write("peer", {{"peer", node},
+                         {"state", heartbeat.leaving ? "leaving" : "live"}});
   }
   return changed;
 }
@@ -82,7 +83,7 @@
 }
 
 void GatewayPeers::OnTick(TimeUs now) {
-  const DurationUs paused = own_pause_.OnTurn(now);
+  const DurationUs paused = suspension_detector_.OnTurn(now);
   if (paused == 0) {
     return;
   }
@@ -120,16 +121,18 @@
 DurationUs GatewayPeers::Period(bool batches) const {
   const std::size_t peers = Live() - 1;
   if (batches || leaving_ || peers <= kPeersAtFullRate) {
-    return kBeat;
+    return kGatewayHeartbeatPeriod;
   }
-  return kBeat * static_cast<DurationUs>(peers) /
+  return kGatewayHeartbeatPeriod * static_cast<DurationUs>(peers) /
          static_cast<DurationUs>(kPeersAtFullRate);
 }
 
-std::vector<DueBeat> GatewayPeers::DueBeats(TimeUs now, DurationUs period) {
-  std::vector<DueBeat> due;
+std::vector<DueHeartbeat> GatewayPeers::DueHeartbeats(TimeUs now,
+                                                      DurationUs period) {
+  std::vector<DueHeartbeat> due;
   for (auto& [node, peer] : peers_) {
-    const DurationUs wait = peer.live ? period : std::max(period, kSilentBeat);
+    const DurationUs wait =
+        peer.live ? period : std::max(period, kSilentPeerHeartbeatPeriod);
     if (now - peer.told_at >= std::min(wait, peer.promised)) {
       peer.told_at = now;
       peer.promised = wait;
@@ -139,8 +142,8 @@
   return due;
 }
 
-std::vector<DueBeat> GatewayPeers::DueQuestions(TimeUs now) {
-  std::vector<DueBeat> due;
+std::vector<DueHeartbeat> GatewayPeers::DueProbes(TimeUs now) {
+  std::vector<DueHeartbeat> due;
   for (auto& [node, peer] : peers_) {
     if (peer.live && now - peer.heard_at > Scaled(peer, kSuspect) &&
         now - peer.asked_at >= Scaled(peer, kAskAgain)) {
@@ -232,9 +235,9 @@
   return 1 + static_cast<std::size_t>(n);
 }
 
-bool GatewayPeers::AnotherIsCurrent() const {
+bool GatewayPeers::AnyPeerCanCheckKeys() const {
   return std::any_of(peers_.begin(), peers_.end(), [](const auto& it) {
-    return it.second.live && !it.second.leaving && it.second.current;
+    return it.second.live && !it.second.leaving && it.second.can_check_keys;
   });
 }
 
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -19,7 +19,7 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "coordination/membership/own_pause.h"
+#include "coordination/membership/suspension_detector.h"
 #include "coordination/tables/relay_plan.h"
 #include "messages.h"
 #include "state/event_log.h"
@@ -30,7 +30,7 @@
 
 // A beat that is due to `node`, which may count on the next one within
 // `promise`.
-struct DueBeat {
+struct DueHeartbeat {
   NodeId node;
   DurationUs promise = 0;
 };
@@ -38,11 +38,12 @@
 class GatewayPeers {
  public:
   // A beat is under 1 KB; at five gateways that is 20 KB/s a host.
-  static constexpr DurationUs kBeat = 150 * kMillisecond;
+  static constexpr DurationUs kGatewayHeartbeatPeriod = 150 * kMillisecond;
   // Load pattern: each gateway tells all others, so what a host receives grows
   // with their number; at 29 a tenth of a core went on beats. Up to this many
-  // peers all beat every `kBeat`. With more, only those that batch for others
-  // do and the rest in proportion less often: nobody waits for these.
+  // peers all beat every `kGatewayHeartbeatPeriod`. With more, only those that
+  // batch for others do and the rest in proportion less often: nobody waits for
+  // these.
   static constexpr std::size_t kPeersAtFullRate = 6;
   // Four beats: with a thirtieth of the datagrams lost, a live gateway is taken
   // for dead once in a million beats. Longer for those that beat less often.
@@ -59,7 +60,7 @@
   // it, this process did not run.
   static constexpr DurationUs kLongestTurn = 200 * kMillisecond;
   // Silent ones are still told, less often: they may return from a cut.
-  static constexpr DurationUs kSilentBeat = kSecond;
+  static constexpr DurationUs kSilentPeerHeartbeatPeriod = kSecond;
   // After this a silent gateway is forgotten; it is read from the store again
   // if it lives.
   static constexpr DurationUs kForget = 60 * kSecond;
@@ -72,10 +73,10 @@
   // A gateway that the store lists.
   void OnListed(TimeUs now, const NodeId& node);
   // Returns whether its state changed.
-  bool OnBeat(TimeUs now,
-              const NodeId& node,
-              Incarnation incarnation,
-              const GatewayBeat& beat);
+  bool OnGatewayHeartbeat(TimeUs now,
+                          const NodeId& node,
+                          Incarnation incarnation,
+                          const GatewayHeartbeat& heartbeat);
   // No connection could be made to it. It is taken for dead at once, until a
   // beat that comes `kUnreachable` later: a killed process refuses connections
   // long before its silence tells, and trying it again in a loop would use up
@@ -105,9 +106,9 @@
   // gateways, hosts with nothing to batch take those that batch for silent
   // again and again and hand themselves their pieces, and so on in a circle.
   // Each promise is to one gateway and is kept, so silence means a loss.
-  std::vector<DueBeat> DueBeats(TimeUs now, DurationUs period);
+  std::vector<DueHeartbeat> DueHeartbeats(TimeUs now, DurationUs period);
   // Those that must tell at once whether they live.
-  std::vector<DueBeat> DueQuestions(TimeUs now);
+  std::vector<DueHeartbeat> DueProbes(TimeUs now);
   // All hear it at once.
   void SetLeaving();
 
@@ -121,7 +122,7 @@
   // Any gateway that lives and does not leave; empty when there is none.
   NodeId AnyLive(Random* random) const;
   // Whether another gateway that lives may check keys, as it last told.
-  bool AnotherIsCurrent() const;
+  bool AnyPeerCanCheckKeys() const;
 
  private:
   struct Peer {
@@ -134,16 +135,17 @@
     TimeUs unreachable_until = 0;
     double cores = 1;
     std::string domain;
-    DurationUs period = kBeat;
+    DurationUs period = kGatewayHeartbeatPeriod;
     bool live = false;
     bool leaving = false;
-    bool current = false;
+    bool can_check_keys = false;
     bool restarted = false;
   };
 
-  // A limit that is given for `kBeat`, at the peer's own period.
+  // A limit that is given for `kGatewayHeartbeatPeriod`, at the peer's own
+  // period.
   static DurationUs Scaled(const Peer& peer, DurationUs limit) {
-    return limit * peer.period / kBeat;
+    return limit * peer.period / kGatewayHeartbeatPeriod;
   }
   // What was derived from who lives is derived anew.
   void OnChange();
@@ -151,7 +153,7 @@
   const GatewayHost self_;
   EventLog* const log_;
   bool leaving_ = false;
-  OwnPause own_pause_{kLongestTurn};
+  SuspensionDetector suspension_detector_{kLongestTurn};
   std::map<NodeId, Peer> peers_;
   // Until when each counts as one that may send work.
   absl::flat_hash_map<NodeId, TimeUs> known_until_;
--- a/src/coordination/membership/membership.cc
+++ b/src/coordination/membership/membership.cc
@@ -41,7 +41,7 @@
   // Failure: this process was paused, and the answers wait in its socket.
   // Symptom: on waking it finds everybody silent for as long as it slept. The
   // silence starts anew, so the answers are read before anyone is suspected.
-  const bool was_paused = own_pause_.OnTurn(now) > 0;
+  const bool was_paused = suspension_detector_.OnTurn(now) > 0;
   for (auto& [name, member] : members_) {
     if (was_paused && member.silent_since >= 0) {
       member.silent_since = now;
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -26,7 +26,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/membership/own_pause.h"
+#include "coordination/membership/suspension_detector.h"
 #include "messages.h"
 #include "state/metrics.h"
 #include "state/random.h"
@@ -136,7 +136,7 @@
   std::map<std::uint64_t, Request> requests_;
   DurationUs period_ = kMinPeriod;
   std::uint64_t next_sequence_ = 1;
-  OwnPause own_pause_{kOwnPause};
+  SuspensionDetector suspension_detector_{kOwnPause};
 };
 
 }  // namespace acaciachute
--- a/src/coordination/membership/own_pause.h
+++ b/src/coordination/membership/suspension_detector.h
@@ -2,8 +2,8 @@
 //
 // Failure: a process is suspended and goes on. Symptom: everybody else seems to
 // have been silent for as long.
-#ifndef ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_OWN_PAUSE_H_
-#define ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_OWN_PAUSE_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_SUSPENSION_DETECTOR_H_
+#define ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_SUSPENSION_DETECTOR_H_
 
 #include <algorithm>
 #include <optional>
@@ -13,10 +13,11 @@
 
 namespace acaciachute {
 
-class OwnPause {
+class SuspensionDetector {
  public:
   // `longest_turn` may pass between two turns of a process that runs.
-  explicit OwnPause(DurationUs longest_turn) : longest_turn_(longest_turn) {}
+  explicit SuspensionDetector(DurationUs longest_turn)
+      : longest_turn_(longest_turn) {}
 
   // What was beyond it since the last turn; zero for a process that ran.
   DurationUs OnTurn(TimeUs now) {
@@ -31,4 +32,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_OWN_PAUSE_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_SUSPENSION_DETECTOR_H_
--- a/src/coordination/settings/currency.h
+++ b/src/coordination/settings/settings_freshness.h
@@ -1,14 +1,14 @@
 // Whether a node can show that its settings are those in force.
-#ifndef ACACIACHUTE_SRC_COORDINATION_SETTINGS_CURRENCY_H_
-#define ACACIACHUTE_SRC_COORDINATION_SETTINGS_CURRENCY_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_FRESHNESS_H_
+#define ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_FRESHNESS_H_
 
 #include "types.h"
 
 namespace acaciachute {
 
-class Currency {
+class SettingsFreshness {
  public:
-  virtual ~Currency() = default;
+  virtual ~SettingsFreshness() = default;
   // Asked as a request is admitted, so that a process that was paused cannot
   // serve what waited in its sockets under settings that are old by now.
   virtual bool IsCurrent(TimeUs now) const = 0;
@@ -16,4 +16,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_SETTINGS_CURRENCY_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_FRESHNESS_H_
--- a/src/coordination/settings/settings_sync.cc
+++ b/src/coordination/settings/settings_sync.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // A question outlives the currency bound never: its answer would prove nothing.
-constexpr DurationUs kQuestionLife = SettingsSync::kCurrencyBound;
+constexpr DurationUs kQuestionLife = SettingsSync::kMaxSettingsAge;
 
 std::uint64_t HashOf(std::string_view text, std::uint64_t seed) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
@@ -345,7 +345,7 @@
   digest.proof_age = AgeOf(now, proved_at_);
   digest.established = established_;
   for (const auto& [witness, at] : witnesses_) {
-    if (at >= 0 && now - at <= kCurrencyBound) {
+    if (at >= 0 && now - at <= kMaxSettingsAge) {
       digest.witnesses.push_back({witness, now - at});
     }
   }
@@ -370,7 +370,7 @@
 // takes no new work without a proof younger than the bound.
 bool SettingsSync::IsCurrent(TimeUs now) const {
   const TimeUs at = std::max(proved_at_, WitnessedAt(now));
-  return established_ && now - at <= kCurrencyBound &&
+  return established_ && now - at <= kMaxSettingsAge &&
          !settings_->branches().empty();
 }
 
--- a/src/coordination/settings/settings_sync.h
+++ b/src/coordination/settings/settings_sync.h
@@ -8,7 +8,7 @@
 // has heard nothing fresh for 2 to 3 s reads for itself, so no election is
 // needed and the loss of all three readers costs two seconds.
 //
-// A node is current when it has, younger than `kCurrencyBound`, one of
+// A node is current when it has, younger than `kMaxSettingsAge`, one of
 //   - a read of the table, its own or a peer's, that its versions include;
 //   - more than half of the witnesses (up to seven entries, the same ones for
 //     all) that had nothing newer than it has.
@@ -31,7 +31,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/settings/currency.h"
+#include "coordination/settings/settings_freshness.h"
 #include "messages.h"
 #include "state/metrics.h"
 #include "state/random.h"
@@ -54,11 +54,11 @@
   virtual void OnApplied(const SettingsPtr& settings) = 0;
 };
 
-class SettingsSync : public Currency {
+class SettingsSync : public SettingsFreshness {
  public:
   // Half a second below the promised 5 s: one gossip period, and the time in
   // which a request that was just admitted is handed over.
-  static constexpr DurationUs kCurrencyBound = 4500 * kMillisecond;
+  static constexpr DurationUs kMaxSettingsAge = 4500 * kMillisecond;
   static constexpr int kReaders = 3;
   static constexpr DurationUs kReadPeriod = kSecond;
   // Without news for this long, plus up to as much again, an entry reads for
--- a/src/coordination/sidecar/sidecar.cc
+++ b/src/coordination/sidecar/sidecar.cc
@@ -93,20 +93,20 @@
   }
   const DurationUs age = ages.Of(call.key.request.origin, call.sent_at, now);
   quarantine.Merge(now, call.quarantined);
-  const Standing standing = quarantine.Of(now, call.fingerprint);
+  const QuarantineState quarantine_state = quarantine.Of(now, call.fingerprint);
   Work item;
   item.entry = from;
   item.call = call;
   item.received = now;
   item.deadline = now + call.time_left - age;
   item.is_long = times.IsLong(call);
-  item.apart = standing == Standing::kSuspect;
+  item.apart = quarantine_state == QuarantineState::kSuspect;
   if (tombstones.MayBeDropped(call.key)) {
     Fail(now, item, Verdict::kMayHaveRun, Refusal::kFull);
     return;
   }
   Refusal reason = Closed(now);
-  if (standing == Standing::kConvicted) {
+  if (quarantine_state == QuarantineState::kConvicted) {
     reason = Refusal::kQuarantined;
   } else if (reason == Refusal::kNone && item.deadline <= now) {
     reason = Refusal::kLate;
@@ -226,12 +226,13 @@
 // too late, or news of a crash came while it waited.
 bool Sidecar::Impl::HandOver(TimeUs now, const StageKey& key) {
   Work& item = work[key];
-  const Standing standing = quarantine.Of(now, item.call.fingerprint);
-  if (standing == Standing::kConvicted) {
+  const QuarantineState quarantine_state =
+      quarantine.Of(now, item.call.fingerprint);
+  if (quarantine_state == QuarantineState::kConvicted) {
     EndWaiting(now, key, Refusal::kQuarantined);
     return false;
   }
-  if (standing == Standing::kSuspect && !item.apart) {
+  if (quarantine_state == QuarantineState::kSuspect && !item.apart) {
     item.apart = true;
     apart_waiting.push_back(key);
     return false;
--- /dev/null
+++ b/src/coordination/stages/local_piece_dispatcher.cc
@@ -0,0 +1,114 @@
+#include "coordination/stages/local_piece_dispatcher.h"
+
+#include <algorithm>
+#include <set>
+#include <utility>
+
+namespace acaciachute {
+
+LocalPieceDispatcher::LocalPieceDispatcher(const ReplicaDirectory* directory,
+                                           PieceBatcherOutput* output,
+                                           RetryBudgetOf budget_of)
+    : directory_(directory),
+      output_(output),
+      budget_of_(std::move(budget_of)) {}
+
+void LocalPieceDispatcher::SetServices(const ServingConfig& config) {
+  for (const auto& [name, service] : config.services()) {
+    if (!service.batching) {
+      continue;
+    }
+    auto& batcher = batchers_[name];
+    if (batcher == nullptr) {
+      batcher =
+          std::make_unique<PieceBatcher>(directory_, budget_of_(name), output_);
+    }
+    batcher->SetService(name, *service.batching);
+  }
+}
+
+void LocalPieceDispatcher::Submit(TimeUs now, std::vector<PieceTask> tasks) {
+  std::set<PieceBatcher*> touched;
+  for (PieceTask& task : tasks) {
+    const auto it = batchers_.find(task.service);
+    if (it == batchers_.end()) {
+      output_->OnPiece({task.key, PieceOutcome::kNotMade, ""});
+    } else {
+      it->second->Add(now, std::move(task));
+      touched.insert(it->second.get());
+    }
+  }
+  // Only after all of them, so that they share a call.
+  for (PieceBatcher* batcher : touched) {
+    batcher->Dispatch(now);
+  }
+}
+
+void LocalPieceDispatcher::Drop(const std::string& request) {
+  for (auto& [name, batcher] : batchers_) {
+    batcher->Drop(request);
+  }
+}
+
+void LocalPieceDispatcher::Free(const std::vector<std::string>& handles) {
+  for (const auto& handle : handles) {
+    const ReplicaEntry* producer = directory_->ProducerOf(handle);
+    if (producer != nullptr) {
+      FreeOf(producer->service, {handle});
+    }
+  }
+}
+
+void LocalPieceDispatcher::FreeOf(const std::string& service,
+                                  const std::vector<std::string>& handles) {
+  if (const auto it = batchers_.find(service); it != batchers_.end()) {
+    it->second->Free(handles);
+  }
+}
+
+bool LocalPieceDispatcher::Idle() const {
+  return std::all_of(batchers_.begin(), batchers_.end(),
+                     [](const auto& it) { return it.second->Idle(); });
+}
+
+QueueWait LocalPieceDispatcher::ExpectedWait(TimeUs now,
+                                             const std::string& service) const {
+  const auto it = batchers_.find(service);
+  return it == batchers_.end() ? QueueWait{} : it->second->ExpectedWait(now);
+}
+
+double LocalPieceDispatcher::MemoryHeld(const std::string& service) const {
+  const auto it = batchers_.find(service);
+  return it == batchers_.end() ? 0 : it->second->MemoryHeld();
+}
+
+void LocalPieceDispatcher::OnCallEnd(TimeUs now,
+                                     const std::string& service,
+                                     BatchId id,
+                                     const PieceCallEnd& end) {
+  if (const auto it = batchers_.find(service); it != batchers_.end()) {
+    it->second->OnCallEnd(now, id, end);
+  }
+}
+
+void LocalPieceDispatcher::OnReplicaGone(TimeUs now,
+                                         const ReplicaEntry& replica) {
+  if (const auto it = batchers_.find(replica.service); it != batchers_.end()) {
+    it->second->OnReplicaGone(now, replica.id);
+  }
+}
+
+void LocalPieceDispatcher::OnReplicaRestarted(TimeUs now,
+                                              const ReplicaEntry& replica) {
+  if (const auto it = batchers_.find(replica.service); it != batchers_.end()) {
+    it->second->OnReplicaRestarted(now, replica.id);
+  }
+}
+
+void LocalPieceDispatcher::OnTick(TimeUs now) {
+  for (auto& [name, batcher] : batchers_) {
+    batcher->OnTick(now);
+  }
+}
+
+}  // namespace acaciachute
--- a/src/coordination/stages/local_piece_desk.h
+++ b/src/coordination/stages/local_piece_dispatcher.h
@@ -1,6 +1,6 @@
 // Makes all pieces by this process's own batchers, one a service.
-#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DESK_H_
-#define ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DESK_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DISPATCHER_H_
+#define ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DISPATCHER_H_
 
 #include <functional>
 #include <map>
@@ -8,27 +8,28 @@
 #include <string>
 
 #include "coordination/stages/piece_batcher.h"
-#include "coordination/stages/piece_desk.h"
+#include "coordination/stages/piece_dispatcher.h"
 
 namespace acaciachute {
 
-class LocalPieceDesk : public PieceDesk {
+class LocalPieceDispatcher : public PieceDispatcher {
  public:
-  using BudgetOf = std::function<AttemptBudget*(const std::string& service)>;
+  using RetryBudgetOf =
+      std::function<ServiceRetryBudget*(const std::string& service)>;
 
-  LocalPieceDesk(const ReplicaDirectory* directory,
-                 PieceBatcherOutput* output,
-                 BudgetOf budget_of);
+  LocalPieceDispatcher(const ReplicaDirectory* directory,
+                       PieceBatcherOutput* output,
+                       RetryBudgetOf budget_of);
 
   // Services that are no longer listed keep their batcher until it is idle.
   void SetServices(const ServingConfig& config);
 
-  void Submit(TimeUs now, std::vector<PieceOrder> orders) override;
+  void Submit(TimeUs now, std::vector<PieceTask> tasks) override;
   void Drop(const std::string& request) override;
   void Free(const std::vector<std::string>& handles) override;
   void FreeOf(const std::string& service,
               const std::vector<std::string>& handles);
-  PoolWait ExpectedWait(TimeUs now, const std::string& service) const override;
+  QueueWait ExpectedWait(TimeUs now, const std::string& service) const override;
   // See `PieceBatcher::MemoryHeld`.
   double MemoryHeld(const std::string& service) const;
 
@@ -48,10 +49,10 @@
  private:
   const ReplicaDirectory* const directory_;
   PieceBatcherOutput* const output_;
-  const BudgetOf budget_of_;
+  const RetryBudgetOf budget_of_;
   std::map<std::string, std::unique_ptr<PieceBatcher>> batchers_;
 };
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DESK_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DISPATCHER_H_
--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -10,46 +10,46 @@
 namespace acaciachute {
 namespace {
 
-StageMakers::End EndOf(PieceCallEnd::Kind kind) {
+StageReplicas::End EndOf(PieceCallEnd::Kind kind) {
   switch (kind) {
     case PieceCallEnd::Kind::kAnswered:
-      return StageMakers::End::kAnswered;
+      return StageReplicas::End::kAnswered;
     case PieceCallEnd::Kind::kLost:
-      return StageMakers::End::kLost;
+      return StageReplicas::End::kLost;
     default:
-      return StageMakers::End::kFailed;
+      return StageReplicas::End::kFailed;
   }
 }
 
 }  // namespace
 
 PieceBatcher::PieceBatcher(const ReplicaDirectory* directory,
-                           AttemptBudget* budget,
+                           ServiceRetryBudget* budget,
                            PieceBatcherOutput* output)
-    : makers_(directory), budget_(budget), output_(output) {}
+    : replicas_(directory), budget_(budget), output_(output) {}
 
 void PieceBatcher::SetService(const std::string& name,
                               const BatchLimits& limits) {
-  makers_.SetService(name, limits);
+  replicas_.SetService(name, limits);
   limits_ = limits;
 }
 
-void PieceBatcher::Add(TimeUs now, PieceOrder order) {
-  const PieceKey key = order.key;
+void PieceBatcher::Add(TimeUs now, PieceTask task) {
+  const PieceKey key = task.key;
   const auto [it, inserted] = pieces_.try_emplace(key);
   if (!inserted) {
     return;  // Sent twice, as after a lost connection: one making is enough.
   }
   budget_->OnRequest(now);
   Piece& piece = it->second;
-  piece.deadline = now + order.time_left;
+  piece.deadline = now + task.time_left;
   piece.queued_at = now;
-  piece.begin_by = now + order.time_to_begin;
-  piece.yields = order.holds_bytes <= order.result_bytes;
-  piece.rank.priority = order.priority;
-  piece.rank.since = now - order.waited;
+  piece.begin_by = now + task.time_to_begin;
+  piece.yields = task.holds_bytes <= task.result_bytes;
+  piece.rank.priority = task.priority;
+  piece.rank.since = now - task.waited;
   piece.rank.key = key;
-  piece.order = std::move(order);
+  piece.task = std::move(task);
   Enqueue(now, &piece);
 }
 
@@ -81,8 +81,8 @@
 }
 
 std::uint64_t PieceBatcher::LateRoom() const {
-  return static_cast<std::uint64_t>(kLateRoom *
-                                    static_cast<double>(limits_.room_bytes));
+  return static_cast<std::uint64_t>(
+      kLateRoom * static_cast<double>(limits_.result_memory_bytes));
 }
 
 void PieceBatcher::Drop(const std::string& request) {
@@ -103,9 +103,9 @@
   if (waiting_.empty()) {
     return;
   }
-  const std::vector<const ReplicaEntry*> free = makers_.Free(now);
+  const std::vector<const ReplicaEntry*> free = replicas_.Free(now);
   for (std::size_t n = 0; n < free.size() && !waiting_.empty(); ++n) {
-    if (!makers_.WorthIt(now, *free[n], waiting_.size())) {
+    if (!replicas_.WorthIt(now, *free[n], waiting_.size())) {
       continue;
     }
     const std::size_t share =
@@ -122,15 +122,15 @@
 bool PieceBatcher::NearEnough(TimeUs now,
                               const Piece& piece,
                               const std::string& domain) {
-  if (piece.order.near_domain.empty() || piece.order.near_domain == domain ||
+  if (piece.task.near_domain.empty() || piece.task.near_domain == domain ||
       now - piece.queued_at >= NearPatience(now, piece)) {
     return true;
   }
-  const auto& replicas = makers_.All();
+  const auto& replicas = replicas_.All();
   return std::none_of(replicas.begin(), replicas.end(),
                       [&](const ReplicaEntry* it) {
-                        return it->domain == piece.order.near_domain &&
-                               !makers_.IsShunned(now, it->id);
+                        return it->domain == piece.task.near_domain &&
+                               !replicas_.IsShunned(now, it->id);
                       });
 }
 
@@ -150,9 +150,9 @@
 // those of its request and stage, unless they would fill a replica by
 // themselves.
 std::uint64_t PieceBatcher::BytesOfQueued(const Piece& piece) const {
-  const std::uint64_t one = piece.order.result_bytes;
-  const std::uint64_t all = QueuedOf(piece.order.key) * one;
-  return all <= limits_.room_bytes / 2 ? all : one;
+  const std::uint64_t one = piece.task.result_bytes;
+  const std::uint64_t all = QueuedOf(piece.task.key) * one;
+  return all <= limits_.result_memory_bytes / 2 ? all : one;
 }
 
 PieceBatcher::Rank PieceBatcher::LastOfGroup(const Rank& rank) {
@@ -166,7 +166,7 @@
 PieceBatcher::Groups PieceBatcher::GroupsFor(TimeUs now,
                                              const ReplicaEntry& replica) {
   Groups groups;
-  const std::uint64_t held = makers_.HeldBytes(replica.id);
+  const std::uint64_t held = replicas_.HeldBytes(replica.id);
   std::uint64_t chosen = held;  // With all that fit beside one another.
   std::size_t passed_over = 0;
   std::size_t pieces = 0;
@@ -181,10 +181,11 @@
     group.priority = first.priority;
     group.since = first.since;
     group.bytes = BytesOfQueued(piece);
-    group.room =
-        first.standing == Standing::kLate ? LateRoom() : limits_.room_bytes;
-    group.near = piece.order.near_domain.empty() ||
-                 piece.order.near_domain == replica.domain;
+    group.room = first.standing == Standing::kLate
+                     ? LateRoom()
+                     : limits_.result_memory_bytes;
+    group.near = piece.task.near_domain.empty() ||
+                 piece.task.near_domain == replica.domain;
     group.pieces =
         static_cast<std::size_t>(std::count_if(it, end, [&](const Rank& rank) {
           return !pieces_.at(rank.key).tried.contains(replica.id);
@@ -207,31 +208,31 @@
   return groups;
 }
 
-std::vector<PieceOrder> PieceBatcher::TakePieces(TimeUs now,
-                                                 const ReplicaEntry& replica,
-                                                 std::size_t most) {
+std::vector<PieceTask> PieceBatcher::TakePieces(TimeUs now,
+                                                const ReplicaEntry& replica,
+                                                std::size_t most) {
   const Groups groups = GroupsFor(now, replica);
-  std::uint64_t held = makers_.HeldBytes(replica.id);
-  std::vector<PieceOrder> taken;
+  std::uint64_t held = replicas_.HeldBytes(replica.id);
+  std::vector<PieceTask> taken;
   for (const std::size_t n :
        FillCall(groups.views, {most, limits_.batch, held})) {
     const Rank last = LastOfGroup(groups.firsts[n]);
     for (auto it = waiting_.lower_bound(groups.firsts[n]);
          it != waiting_.end() && *it < last && taken.size() < limits_.batch;) {
       Piece& piece = pieces_.at(it->key);
-      const bool fits = held + piece.order.result_bytes <= groups.views[n].room;
+      const bool fits = held + piece.task.result_bytes <= groups.views[n].room;
       if (!fits || piece.tried.contains(replica.id)) {
         ++it;
         continue;
       }
-      held += piece.order.result_bytes;
-      makers_.Reserve(replica.id, piece.order.result_bytes);
+      held += piece.task.result_bytes;
+      replicas_.Reserve(replica.id, piece.task.result_bytes);
       piece.queued = false;
       ++piece.calls;
       ++piece.tries;
       piece.tried.insert(replica.id);
-      piece.order.time_left = piece.deadline - now;
-      taken.push_back(piece.order);
+      piece.task.time_left = piece.deadline - now;
+      taken.push_back(piece.task);
       it = waiting_.erase(it);
     }
   }
@@ -247,16 +248,16 @@
     return;
   }
   call.started = now;
-  call.call.slowness = makers_.Slowness(now, replica.id);
+  call.call.slowness = replicas_.Slowness(now, replica.id);
   call.expected =
-      makers_.OnCallStarted(now, replica.id, call.call.pieces.size());
+      replicas_.OnCallStarted(now, replica.id, call.call.pieces.size());
   call.call.id = next_id_++;
   call.call.replica = replica.id;
   call.call.address = replica.address;
-  call.call.expected = makers_.CallTime(1, call.call.pieces.size());
+  call.call.expected = replicas_.CallTime(1, call.call.pieces.size());
   call.call.left_waiting = waiting_.size();
-  call.call.held_bytes = makers_.HeldBytes(replica.id);
-  for (const PieceOrder& it : call.call.pieces) {
+  call.call.held_bytes = replicas_.HeldBytes(replica.id);
+  for (const PieceTask& it : call.call.pieces) {
     AdvanceSiblings(it.key);
   }
   rate_.OnBegun(now, call.call.pieces.size(), !waiting_.empty());
@@ -265,9 +266,10 @@
   output_->StartCall(calls_.at(id).call);
 }
 
-StageMakers::CallView PieceBatcher::ViewOf(const Call& call) {
-  StageMakers::CallView view{call.started, call.call.expected, 0, call.copied};
-  for (const PieceOrder& it : call.call.pieces) {
+StageReplicas::CallView PieceBatcher::ViewOf(const Call& call) {
+  StageReplicas::CallView view{call.started, call.call.expected, 0,
+                               call.copied};
+  for (const PieceTask& it : call.call.pieces) {
     view.bytes += it.result_bytes;
   }
   return view;
@@ -275,14 +277,14 @@
 
 void PieceBatcher::Free(const std::vector<std::string>& handles) {
   for (const auto& handle : handles) {
-    const auto maker =
+    const auto producer =
         ParseAddress(std::string_view(handle).substr(0, handle.find('/')));
-    if (!maker) {
+    if (!producer) {
       continue;  // None was made.
     }
     // Also those that another gateway's batcher had made before.
-    frees_[*maker].push_back(handle);
-    makers_.Forget(handle);
+    frees_[*producer].push_back(handle);
+    replicas_.Forget(handle);
   }
 }
 
@@ -290,7 +292,7 @@
 // by itself.
 void PieceBatcher::SendFrees() {
   for (const auto& [address, handles] : std::exchange(frees_, {})) {
-    if (!makers_.InEvacuatedDomain(handles.front())) {
+    if (!replicas_.InEvacuatedDomain(handles.front())) {
       output_->FreeAt(address, handles);
     }
   }
@@ -303,26 +305,27 @@
   }
   const Call call = std::move(it->second);
   calls_.erase(it);
-  makers_.OnCallEnded(now, call.call.replica, ViewOf(call), EndOf(end.kind));
+  replicas_.OnCallEnded(now, call.call.replica, ViewOf(call), EndOf(end.kind));
   if (end.kind == PieceCallEnd::Kind::kAnswered) {
     EndLostBefore(now, call);
   } else if (end.kind == PieceCallEnd::Kind::kLost) {
     HoldLost(now, call);
   }
   for (std::size_t n = 0; n < call.call.pieces.size(); ++n) {
-    const PieceOrder& order = call.call.pieces[n];
+    const PieceTask& task = call.call.pieces[n];
     const bool answered =
         end.kind == PieceCallEnd::Kind::kAnswered && n < end.results.size();
     PieceResult result;
     if (answered) {
       result = end.results[n];
       if (!result.handle.empty()) {
-        makers_.Hold(now, call.call.replica, result.handle, order.result_bytes);
-      } else if (result.outcome == PieceOutcome::kNoRoom) {
-        makers_.OnNoRoom(now, call.call.replica);
+        replicas_.Hold(now, call.call.replica, result.handle,
+                       task.result_bytes);
+      } else if (result.outcome == PieceOutcome::kOutOfMemory) {
+        replicas_.OnOutOfMemory(now, call.call.replica);
       }
     }
-    result.key = order.key;
+    result.key = task.key;
     EndPiece(now, answered, result);
   }
   Dispatch(now);
@@ -360,7 +363,7 @@
 void PieceBatcher::HoldLost(TimeUs now, const Call& call) {
   // No handle that a replica gives begins like this.
   const std::string handle = "lost/" + std::to_string(call.call.id);
-  makers_.Hold(now, call.call.replica, handle, ViewOf(call).bytes);
+  replicas_.Hold(now, call.call.replica, handle, ViewOf(call).bytes);
 }
 
 void PieceBatcher::EndPiece(TimeUs now,
@@ -398,7 +401,7 @@
 // Where no replica is left that a piece was not tried at, all may be tried
 // again.
 void PieceBatcher::ForgetTriedIfAll(Piece* piece) const {
-  const auto& replicas = makers_.All();
+  const auto& replicas = replicas_.All();
   const bool untried_left = std::any_of(
       replicas.begin(), replicas.end(),
       [&](const auto* it) { return !piece->tried.contains(it->id); });
@@ -415,7 +418,7 @@
   if (piece->queued) {
     return;
   }
-  const PieceKey key = piece->order.key;
+  const PieceKey key = piece->task.key;
   if (LetGoOfInputs(*piece)) {
     Finish(pieces_.find(key), {key, PieceOutcome::kInputGone, ""});
     return;
@@ -434,7 +437,7 @@
 }
 
 void PieceBatcher::OnReplicaGone(TimeUs now, const ReplicaId& replica) {
-  makers_.OnGone(replica);
+  replicas_.OnGone(replica);
   Dispatch(now);
 }
 
@@ -491,7 +494,7 @@
 
 void PieceBatcher::NoteInputsRead(const Call& call) {
   std::vector<std::string> unneeded;
-  for (const PieceOrder& it : call.call.pieces) {
+  for (const PieceTask& it : call.call.pieces) {
     const auto piece = pieces_.find(it.key);
     if (it.sole_users == 0 || it.inputs.empty() || piece == pieces_.end() ||
         piece->second.inputs_read || !output_->ShortOfMemory(it.inputs)) {
@@ -508,16 +511,16 @@
 }
 
 bool PieceBatcher::LetGoOfInputs(const Piece& piece) const {
-  const PieceOrder& order = piece.order;
-  const auto it = read_.find({order.key.request, order.key.stage});
-  return it != read_.end() && it->second >= order.sole_users;
+  const PieceTask& task = piece.task;
+  const auto it = read_.find({task.key.request, task.key.stage});
+  return it != read_.end() && it->second >= task.sole_users;
 }
 
 void PieceBatcher::CopyOverdue(TimeUs now, Call* call) {
   call->copied = true;
-  makers_.OnCallOverdue(now, call->call.replica, ViewOf(*call));
-  for (const auto& order : call->call.pieces) {
-    const auto it = pieces_.find(order.key);
+  replicas_.OnCallOverdue(now, call->call.replica, ViewOf(*call));
+  for (const auto& task : call->call.pieces) {
+    const auto it = pieces_.find(task.key);
     if (it != pieces_.end() && !it->second.queued && it->second.calls == 1 &&
         it->second.tries < kMostTries && !LetGoOfInputs(it->second) &&
         budget_->Take(now)) {
@@ -531,7 +534,7 @@
   if (now >= next_upkeep_) {
     next_upkeep_ = now + kUpkeep;
     ExpireWaiting(now);
-    makers_.ForgetLapsed(now);
+    replicas_.ForgetLapsed(now);
   }
   SendFrees();
   Dispatch(now);
@@ -547,19 +550,19 @@
   if (bytes == 0) {
     return limits_.batch;
   }
-  const std::uint64_t fit = limits_.room_bytes / (2 * bytes);
+  const std::uint64_t fit = limits_.result_memory_bytes / (2 * bytes);
   return std::clamp<std::size_t>(fit, 1, limits_.batch);
 }
 
 PieceBatcher::Pace PieceBatcher::PaceOf(TimeUs now) const {
-  const auto [makers, first_free] = makers_.WhenFree(now, kGiveUp);
-  if (makers == 0) {
+  const auto [replica_count, first_free] = replicas_.WhenFree(now, kGiveUp);
+  if (replica_count == 0) {
     return {};
   }
   const std::size_t batch = UsualBatch();
   Pace pace{true, first_free,
-            static_cast<double>(makers_.CallTime(1, batch)) /
-                static_cast<double>(makers * batch)};
+            static_cast<double>(replicas_.CallTime(1, batch)) /
+                static_cast<double>(replica_count * batch)};
   pace.each = std::max(pace.each, rate_.Each(now).value_or(0));
   return pace;
 }
@@ -573,24 +576,24 @@
          static_cast<DurationUs>(static_cast<double>(ahead) * pace.each);
 }
 
-PoolWait PieceBatcher::ExpectedWait(TimeUs now) const {
-  std::array<std::size_t, PoolWait::kRanks> ahead{};
+QueueWait PieceBatcher::ExpectedWait(TimeUs now) const {
+  std::array<std::size_t, QueueWait::kRanks> ahead{};
   for (const Rank& it : waiting_) {
     const std::size_t first = it.standing == Standing::kBegun ? 0
                               : it.standing == Standing::kLate
-                                  ? PoolWait::kRanks
+                                  ? QueueWait::kRanks
                                   : it.priority;
-    for (std::size_t n = first; n < PoolWait::kRanks; ++n) {
+    for (std::size_t n = first; n < QueueWait::kRanks; ++n) {
       ++ahead[n];
     }
   }
   const Pace pace = PaceOf(now);
-  PoolWait wait;
-  for (std::size_t n = 0; n < PoolWait::kRanks; ++n) {
+  QueueWait wait;
+  for (std::size_t n = 0; n < QueueWait::kRanks; ++n) {
     wait.in_time[n] = WaitBehind(pace, ahead[n]);
   }
   wait.late = WaitBehind(pace, waiting_.size());
-  wait.memory = makers_.MemoryHeld();
+  wait.memory = replicas_.MemoryHeld();
   return wait;
 }
 
--- a/src/coordination/stages/piece_batcher.h
+++ b/src/coordination/stages/piece_batcher.h
@@ -32,10 +32,10 @@
 #include <string>
 #include <vector>
 
-#include "coordination/gateway/attempt_budget.h"
+#include "coordination/gateway/service_retry_budget.h"
 #include "coordination/stages/fill_call.h"
 #include "coordination/stages/queue_rate.h"
-#include "coordination/stages/stage_makers.h"
+#include "coordination/stages/stage_replicas.h"
 #include "state/piece.h"
 #include "state/replica_directory.h"
 #include "state/serving_config.h"
@@ -50,7 +50,7 @@
   BatchId id = 0;
   ReplicaId replica;
   Address address;
-  std::vector<PieceOrder> pieces;
+  std::vector<PieceTask> pieces;
   DurationUs expected = 0;
   // What decided its size, for logs.
   std::size_t left_waiting = 0;
@@ -124,12 +124,12 @@
   static constexpr std::uint32_t kMostTries = 4;
 
   PieceBatcher(const ReplicaDirectory* directory,
-               AttemptBudget* budget,
+               ServiceRetryBudget* budget,
                PieceBatcherOutput* output);
 
   void SetService(const std::string& name, const BatchLimits& limits);
 
-  void Add(TimeUs now, PieceOrder order);
+  void Add(TimeUs now, PieceTask task);
   // Begins what can be begun; due after pieces were added.
   void Dispatch(TimeUs now);
   // Nobody waits for the request's pieces any longer.
@@ -147,9 +147,9 @@
 
   bool Idle() const { return pieces_.empty() && calls_.empty(); }
   std::size_t waiting() const { return waiting_.size(); }
-  PoolWait ExpectedWait(TimeUs now) const;
+  QueueWait ExpectedWait(TimeUs now) const;
   // Share of the replicas' memory for results that is held.
-  double MemoryHeld() const { return makers_.MemoryHeld(); }
+  double MemoryHeld() const { return replicas_.MemoryHeld(); }
 
  private:
   // Where a piece stands, first to last.
@@ -171,7 +171,7 @@
     auto operator<=>(const Rank&) const = default;
   };
   struct Piece {
-    PieceOrder order;
+    PieceTask task;
     TimeUs deadline = 0;
     TimeUs queued_at = 0;
     TimeUs begin_by = 0;  // Later its request cannot be on time.
@@ -217,9 +217,9 @@
   Groups GroupsFor(TimeUs now, const ReplicaEntry& replica);
   // Takes the pieces of a call to `replica` off the queue, `most` and what
   // completes their requests; their results count as held there.
-  std::vector<PieceOrder> TakePieces(TimeUs now,
-                                     const ReplicaEntry& replica,
-                                     std::size_t most);
+  std::vector<PieceTask> TakePieces(TimeUs now,
+                                    const ReplicaEntry& replica,
+                                    std::size_t most);
   void StartOn(TimeUs now, const ReplicaEntry& replica, std::size_t most);
   void Enqueue(TimeUs now, Piece* piece);
   void AdvanceSiblings(const PieceKey& key);
@@ -240,13 +240,13 @@
                      const PieceCallEnd& end,
                      const std::function<bool(const Call&)>& holds);
   void HoldLost(TimeUs now, const Call& call);
-  static StageMakers::CallView ViewOf(const Call& call);
+  static StageReplicas::CallView ViewOf(const Call& call);
   void NoteInputsRead(const Call& call);
   // Whether the piece's inputs may be gone, so that it can't be made again.
   bool LetGoOfInputs(const Piece& piece) const;
 
-  StageMakers makers_;
-  AttemptBudget* const budget_;
+  StageReplicas replicas_;
+  ServiceRetryBudget* const budget_;
   PieceBatcherOutput* const output_;
   BatchLimits limits_;
   std::map<PieceKey, Piece> pieces_;
--- a/src/coordination/stages/shared_piece_desk.cc
+++ b/src/coordination/stages/shared_piece_dispatcher.cc
@@ -1,16 +1,17 @@
-#include "coordination/stages/shared_piece_desk.h"
+#include "coordination/stages/shared_piece_dispatcher.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace acaciachute {
 
-SharedPieceDesk::SharedPieceDesk(NodeId self,
-                                 const GatewayPeers* peers,
-                                 LocalPieceDesk* local,
-                                 const ReplicaDirectory* directory,
-                                 SharedPieceDeskOutput* output,
-                                 EventLog* log)
+SharedPieceDispatcher::SharedPieceDispatcher(
+    NodeId self,
+    const GatewayPeers* peers,
+    LocalPieceDispatcher* local,
+    const ReplicaDirectory* directory,
+    SharedPieceDispatcherOutput* output,
+    EventLog* log)
     : self_(std::move(self)),
       peers_(peers),
       local_(local),
@@ -18,56 +19,56 @@
       output_(output),
       log_(log) {}
 
-void SharedPieceDesk::Submit(TimeUs now, std::vector<PieceOrder> orders) {
-  for (const PieceOrder& it : orders) {
+void SharedPieceDispatcher::Submit(TimeUs now, std::vector<PieceTask> tasks) {
+  for (const PieceTask& it : tasks) {
     Pending& pending = pending_[it.key];
-    pending.order = it;
+    pending.task = it;
     pending.deadline = now + it.time_left;
     pending.begin_by = now + it.time_to_begin;
     pending.since = now - it.waited;
   }
-  HandOver(now, std::move(orders));
+  HandOver(now, std::move(tasks));
 }
 
 // All orders are of one request and for one service.
-void SharedPieceDesk::HandOver(TimeUs now, std::vector<PieceOrder> orders) {
-  const NodeId owner = peers_->OwnerOf(orders.front().service);
-  for (const PieceOrder& it : orders) {
+void SharedPieceDispatcher::HandOver(TimeUs now, std::vector<PieceTask> tasks) {
+  const NodeId owner = peers_->OwnerOf(tasks.front().service);
+  for (const PieceTask& it : tasks) {
     Pending& pending = pending_[it.key];
     pending.owner = owner;
     pending.handed_at = now;
   }
   if (owner == self_) {
-    local_->Submit(now, std::move(orders));
+    local_->Submit(now, std::move(tasks));
   } else {
-    owners_[orders.front().key.request].insert(owner);
-    output_->SendToPeer(owner, PieceOrders{std::move(orders)});
+    owners_[tasks.front().key.request].insert(owner);
+    output_->SendToPeer(owner, PieceTasks{std::move(tasks)});
   }
 }
 
-void SharedPieceDesk::HandAgain(TimeUs now,
-                                const std::vector<PieceKey>& keys,
-                                const char* why) {
+void SharedPieceDispatcher::HandAgain(TimeUs now,
+                                      const std::vector<PieceKey>& keys,
+                                      const char* why) {
   using Group = std::pair<std::string, std::string>;  // Request and service.
-  std::map<Group, std::vector<PieceOrder>> groups;
+  std::map<Group, std::vector<PieceTask>> groups;
   for (const PieceKey& key : keys) {
     Pending& pending = pending_.at(key);
-    PieceOrder order = pending.order;
-    order.time_left = pending.deadline - now;
-    order.time_to_begin = pending.begin_by - now;
-    order.waited = now - pending.since;
-    groups[{key.request, order.service}].push_back(std::move(order));
+    PieceTask task = pending.task;
+    task.time_left = pending.deadline - now;
+    task.time_to_begin = pending.begin_by - now;
+    task.waited = now - pending.since;
+    groups[{key.request, task.service}].push_back(std::move(task));
   }
-  for (auto& [group, orders] : groups) {
+  for (auto& [group, tasks] : groups) {
     log_->Write("pieces_again", {{"id", group.first},
                                  {"service", group.second},
-                                 {"pieces", orders.size()},
+                                 {"pieces", tasks.size()},
                                  {"why", why}});
-    HandOver(now, std::move(orders));
+    HandOver(now, std::move(tasks));
   }
 }
 
-void SharedPieceDesk::Drop(const std::string& request) {
+void SharedPieceDispatcher::Drop(const std::string& request) {
   auto it = pending_.lower_bound(PieceKey{request, 0, 0});
   while (it != pending_.end() && it->first.request == request) {
     it = pending_.erase(it);
@@ -78,18 +79,18 @@
     return;
   }
   for (const NodeId& owner : owners.mapped()) {
-    output_->SendToPeer(owner, PieceDrop{request});
+    output_->SendToPeer(owner, PieceCancel{request});
   }
 }
 
 // The gateway that batches the maker's service keeps the account of the maker's
 // memory.
-void SharedPieceDesk::Free(const std::vector<std::string>& handles) {
+void SharedPieceDispatcher::Free(const std::vector<std::string>& handles) {
   std::map<std::string, std::vector<std::string>> by_service;
   for (const auto& handle : handles) {
-    const ReplicaEntry* maker = directory_->MakerOf(handle);
-    if (maker != nullptr) {
-      by_service[maker->service].push_back(handle);
+    const ReplicaEntry* producer = directory_->ProducerOf(handle);
+    if (producer != nullptr) {
+      by_service[producer->service].push_back(handle);
     }
   }
   for (auto& [service, list] : by_service) {
@@ -97,21 +98,22 @@
     if (owner == self_) {
       local_->FreeOf(service, list);
     } else {
-      output_->SendToPeer(owner, PieceFree{std::move(list)});
+      output_->SendToPeer(owner, PieceRelease{std::move(list)});
     }
   }
 }
 
-PoolWait SharedPieceDesk::ExpectedWait(TimeUs now,
-                                       const std::string& service) const {
+QueueWait SharedPieceDispatcher::ExpectedWait(
+    TimeUs now,
+    const std::string& service) const {
   if (peers_->OwnerOf(service) == self_) {
     return local_->ExpectedWait(now, service);
   }
   const auto it = told_.find(service);
-  return it == told_.end() ? PoolWait{} : it->second;
+  return it == told_.end() ? QueueWait{} : it->second;
 }
 
-double SharedPieceDesk::MemoryHeld(const std::string& service) const {
+double SharedPieceDispatcher::MemoryHeld(const std::string& service) const {
   if (peers_->OwnerOf(service) == self_) {
     return local_->MemoryHeld(service);
   }
@@ -119,20 +121,21 @@
   return it == told_.end() ? 0 : it->second.memory;
 }
 
-bool SharedPieceDesk::ShortOfMemory(
+bool SharedPieceDispatcher::ShortOfMemory(
     const std::vector<std::string>& handles) const {
   std::set<std::string> services;
   for (const auto& handle : handles) {
-    if (const ReplicaEntry* maker = directory_->MakerOf(handle)) {
-      services.insert(maker->service);
+    if (const ReplicaEntry* producer = directory_->ProducerOf(handle)) {
+      services.insert(producer->service);
     }
   }
   return std::any_of(services.begin(), services.end(),
                      [&](const auto& it) { return MemoryHeld(it) > kShort; });
 }
 
-std::vector<ServiceWait> SharedPieceDesk::OwnWaits(TimeUs now) const {
-  std::vector<ServiceWait> waits;
+std::vector<ServiceQueueWait> SharedPieceDispatcher::OwnQueueWaits(
+    TimeUs now) const {
+  std::vector<ServiceQueueWait> waits;
   for (const auto& [service, batcher] : local_->batchers()) {
     if (peers_->OwnerOf(service) == self_) {
       waits.push_back({service, batcher->ExpectedWait(now)});
@@ -141,20 +144,21 @@
   return waits;
 }
 
-bool SharedPieceDesk::Batches() const {
+bool SharedPieceDispatcher::Batches() const {
   const auto& batchers = local_->batchers();
   return std::any_of(batchers.begin(), batchers.end(), [&](const auto& it) {
     return peers_->OwnerOf(it.first) == self_;
   });
 }
 
-void SharedPieceDesk::OnPeerWaits(const std::vector<ServiceWait>& waits) {
-  for (const ServiceWait& it : waits) {
+void SharedPieceDispatcher::OnPeerQueueWaits(
+    const std::vector<ServiceQueueWait>& waits) {
+  for (const ServiceQueueWait& it : waits) {
     told_[it.service] = it.wait;
   }
 }
 
-void SharedPieceDesk::OnLocalPiece(const PieceResult& result) {
+void SharedPieceDispatcher::OnLocalPiece(const PieceResult& result) {
   const auto it = requesters_.find(result.key.request);
   if (it != requesters_.end()) {
     results_[it->second].push_back(result);
@@ -163,7 +167,7 @@
   OnOwnResult(result);
 }
 
-void SharedPieceDesk::OnOwnResult(const PieceResult& result) {
+void SharedPieceDispatcher::OnOwnResult(const PieceResult& result) {
   if (pending_.erase(result.key) > 0) {
     output_->OnOwnPiece(result);
   } else if (!result.handle.empty()) {
@@ -171,31 +175,31 @@
   }
 }
 
-void SharedPieceDesk::OnPeerOrders(TimeUs now,
-                                   const NodeId& from,
-                                   const PieceOrders& orders) {
-  for (const PieceOrder& it : orders.orders) {
+void SharedPieceDispatcher::OnPeerTasks(TimeUs now,
+                                        const NodeId& from,
+                                        const PieceTasks& tasks) {
+  for (const PieceTask& it : tasks.tasks) {
     requesters_[it.key.request] = from;
   }
-  local_->Submit(now, orders.orders);
+  local_->Submit(now, tasks.tasks);
 }
 
-void SharedPieceDesk::OnPeerDrop(const PieceDrop& drop) {
-  requesters_.erase(drop.request);
-  local_->Drop(drop.request);
+void SharedPieceDispatcher::OnPeerCancel(const PieceCancel& cancel) {
+  requesters_.erase(cancel.request);
+  local_->Drop(cancel.request);
 }
 
-void SharedPieceDesk::OnPeerFree(const PieceFree& free) {
-  local_->Free(free.handles);
+void SharedPieceDispatcher::OnPeerRelease(const PieceRelease& release) {
+  local_->Free(release.handles);
 }
 
-void SharedPieceDesk::OnPeerResults(const PieceResults& results) {
+void SharedPieceDispatcher::OnPeerResults(const PieceResults& results) {
   for (const PieceResult& it : results.results) {
     OnOwnResult(it);
   }
 }
 
-void SharedPieceDesk::OnPeerLost(TimeUs now, const NodeId& peer) {
+void SharedPieceDispatcher::OnPeerLost(TimeUs now, const NodeId& peer) {
   std::vector<std::string> dropped;
   for (const auto& [request, node] : requesters_) {
     if (node == peer) {
@@ -203,7 +207,7 @@
     }
   }
   for (const auto& request : dropped) {
-    OnPeerDrop({request});
+    OnPeerCancel({request});
   }
   std::vector<PieceKey> lost;
   for (const auto& [key, pending] : pending_) {
@@ -214,19 +218,19 @@
   HandAgain(now, lost, "the gateway that batches is lost");
 }
 
-void SharedPieceDesk::SendResults() {
+void SharedPieceDispatcher::SendResults() {
   for (auto& [peer, results] : std::exchange(results_, {})) {
     output_->SendToPeer(peer, PieceResults{std::move(results)});
   }
 }
 
-void SharedPieceDesk::OnTick(TimeUs now) {
+void SharedPieceDispatcher::OnTick(TimeUs now) {
   SendResults();
   std::vector<PieceKey> overdue;
   for (const auto& [key, pending] : pending_) {
     const DurationUs beyond = now - pending.handed_at - kPatience;
     if (pending.owner != self_ && beyond > 0 &&
-        beyond > ExpectedWait(now, pending.order.service).late) {
+        beyond > ExpectedWait(now, pending.task.service).late) {
       overdue.push_back(key);
     }
   }
--- a/src/coordination/stages/shared_piece_desk.h
+++ b/src/coordination/stages/shared_piece_dispatcher.h
@@ -6,8 +6,8 @@
 // gateway as soon as the first one is lost, or when no result came in
 // `kPatience`; a piece that is then made twice costs only its time, and the
 // second result is freed.
-#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DESK_H_
-#define ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DESK_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DISPATCHER_H_
+#define ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DISPATCHER_H_
 
 #include <map>
 #include <set>
@@ -15,37 +15,37 @@
 #include <vector>
 
 #include "coordination/membership/gateway_peers.h"
-#include "coordination/stages/local_piece_desk.h"
-#include "coordination/stages/piece_desk.h"
+#include "coordination/stages/local_piece_dispatcher.h"
+#include "coordination/stages/piece_dispatcher.h"
 #include "messages.h"
 
 namespace acaciachute {
 
-class SharedPieceDeskOutput {
+class SharedPieceDispatcherOutput {
  public:
-  virtual ~SharedPieceDeskOutput() = default;
+  virtual ~SharedPieceDispatcherOutput() = default;
   virtual void SendToPeer(const NodeId& peer, const Message& message) = 0;
   // A result for this gateway's own request.
   virtual void OnOwnPiece(const PieceResult& result) = 0;
 };
 
-class SharedPieceDesk : public PieceDesk {
+class SharedPieceDispatcher : public PieceDispatcher {
  public:
   // Several calls' time: a piece that waits this much longer than the queue at
   // the other gateway, as it last told, is more likely lost than late.
   static constexpr DurationUs kPatience = 2500 * kMillisecond;
 
-  SharedPieceDesk(NodeId self,
-                  const GatewayPeers* peers,
-                  LocalPieceDesk* local,
-                  const ReplicaDirectory* directory,
-                  SharedPieceDeskOutput* output,
-                  EventLog* log);
+  SharedPieceDispatcher(NodeId self,
+                        const GatewayPeers* peers,
+                        LocalPieceDispatcher* local,
+                        const ReplicaDirectory* directory,
+                        SharedPieceDispatcherOutput* output,
+                        EventLog* log);
 
-  void Submit(TimeUs now, std::vector<PieceOrder> orders) override;
+  void Submit(TimeUs now, std::vector<PieceTask> tasks) override;
   void Drop(const std::string& request) override;
   void Free(const std::vector<std::string>& handles) override;
-  PoolWait ExpectedWait(TimeUs now, const std::string& service) const override;
+  QueueWait ExpectedWait(TimeUs now, const std::string& service) const override;
 
   // Whether the service that made these results holds more than `kShort` of its
   // memory for results.
@@ -55,13 +55,13 @@
 
   // A piece that this gateway's batchers made, or could not make.
   void OnLocalPiece(const PieceResult& result);
-  void OnPeerOrders(TimeUs now, const NodeId& from, const PieceOrders& orders);
-  void OnPeerDrop(const PieceDrop& drop);
-  void OnPeerFree(const PieceFree& free);
+  void OnPeerTasks(TimeUs now, const NodeId& from, const PieceTasks& tasks);
+  void OnPeerCancel(const PieceCancel& cancel);
+  void OnPeerRelease(const PieceRelease& release);
   void OnPeerResults(const PieceResults& results);
   // What the batching gateways tell of their queues, and what this one does.
-  void OnPeerWaits(const std::vector<ServiceWait>& waits);
-  std::vector<ServiceWait> OwnWaits(TimeUs now) const;
+  void OnPeerQueueWaits(const std::vector<ServiceQueueWait>& waits);
+  std::vector<ServiceQueueWait> OwnQueueWaits(TimeUs now) const;
   // Whether this gateway batches any service.
   bool Batches() const;
   void OnPeerLost(TimeUs now, const NodeId& peer);
@@ -74,7 +74,7 @@
 
  private:
   struct Pending {
-    PieceOrder order;
+    PieceTask task;
     NodeId owner;
     TimeUs deadline = 0;
     TimeUs begin_by = 0;
@@ -83,7 +83,7 @@
   };
 
   double MemoryHeld(const std::string& service) const;
-  void HandOver(TimeUs now, std::vector<PieceOrder> orders);
+  void HandOver(TimeUs now, std::vector<PieceTask> tasks);
   void HandAgain(TimeUs now,
                  const std::vector<PieceKey>& keys,
                  const char* why);
@@ -91,18 +91,18 @@
 
   const NodeId self_;
   const GatewayPeers* const peers_;
-  LocalPieceDesk* const local_;
+  LocalPieceDispatcher* const local_;
   const ReplicaDirectory* const directory_;
-  SharedPieceDeskOutput* const output_;
+  SharedPieceDispatcherOutput* const output_;
   EventLog* const log_;
   std::map<PieceKey, Pending> pending_;
   // Other gateways that were handed pieces of one of this one's requests.
   std::map<std::string, std::set<NodeId>> owners_;
   std::map<std::string, NodeId> requesters_;  // Of other gateways' requests.
-  std::map<std::string, PoolWait> told_;
+  std::map<std::string, QueueWait> told_;
   std::map<NodeId, std::vector<PieceResult>> results_;  // To be sent.
 };
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DESK_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_SHARED_PIECE_DISPATCHER_H_
--- a/src/coordination/stages/stage_progress.h
+++ b/src/coordination/stages/stage_progress.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "state/client_call.h"
+#include "state/client_request.h"
 #include "state/serving_config.h"
 
 namespace acaciachute {
--- a/src/coordination/stages/stage_makers.h
+++ b/src/coordination/stages/stage_replicas.h
@@ -1,7 +1,7 @@
 // What a batcher knows of its service's replicas: who is free, how slow each
 // is, who failed lately, and the memory that results hold there.
-#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
-#define ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
+#define ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
 
 #include <cstdint>
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace acaciachute {
 
-class StageMakers {
+class StageReplicas {
  public:
   // After a refusal or a broken call. A restart takes some seconds; a replica
   // that is well again is found by one call.
@@ -48,7 +48,7 @@
     DurationUs wait = 0;       // Until the first of them is free.
   };
 
-  explicit StageMakers(const ReplicaDirectory* directory)
+  explicit StageReplicas(const ReplicaDirectory* directory)
       : directory_(directory) {}
 
   void SetService(const std::string& name, const BatchLimits& limits);
@@ -77,8 +77,8 @@
                    const ReplicaId& id,
                    const CallView& call,
                    End end);
-  void OnNoRoom(TimeUs now, const ReplicaId& id);
-  void OnGone(const ReplicaId& id) { makers_.erase(id); }
+  void OnOutOfMemory(TimeUs now, const ReplicaId& id);
+  void OnGone(const ReplicaId& id) { states_.erase(id); }
 
   // Memory at a replica, results that are being made included.
   std::uint64_t HeldBytes(const ReplicaId& id) const;
@@ -94,7 +94,7 @@
   double MemoryHeld() const;
 
  private:
-  struct Maker {
+  struct ReplicaState {
     std::uint32_t calls = 0;    // Those that are overdue left out.
     std::uint32_t overdue = 0;  // Calls that may never be answered.
     double slowness = 1;        // Measured against expected time.
@@ -106,22 +106,22 @@
     std::uint64_t held_bytes = 0;  // Results there, and those being made.
   };
   struct Held {
-    ReplicaId maker;
+    ReplicaId producer;
     std::uint64_t bytes = 0;
     TimeUs until = 0;  // Its maker forgets it by then.
   };
 
-  static double SlownessOf(TimeUs now, const Maker& maker);
-  const Maker* Find(const ReplicaId& id) const;
+  static double SlownessOf(TimeUs now, const ReplicaState& state);
+  const ReplicaState* Find(const ReplicaId& id) const;
   void Release(const ReplicaId& id, std::uint64_t bytes);
 
   const ReplicaDirectory* const directory_;
   std::string service_;
   BatchLimits limits_;
-  absl::flat_hash_map<ReplicaId, Maker> makers_;
+  absl::flat_hash_map<ReplicaId, ReplicaState> states_;
   std::map<std::string, Held> held_;  // By handle.
 };
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_MAKERS_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_STAGES_STAGE_REPLICAS_H_
--- a/src/coordination/tables/store_questions.cc
+++ b/src/coordination/tables/store_requests.cc
@@ -1,14 +1,14 @@
-#include "coordination/tables/store_questions.h"
+#include "coordination/tables/store_requests.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace acaciachute {
 
-StoreQuestions::StoreQuestions(std::string table, StoreReader* store)
+StoreRequests::StoreRequests(std::string table, StoreReader* store)
     : table_(std::move(table)), store_(store) {}
 
-void StoreQuestions::Ask(TimeUs now, TableQuery query) {
+void StoreRequests::Ask(TimeUs now, TableQuery query) {
   if (!sent_.empty()) {
     sent_.back().awaited = false;
   }
@@ -21,7 +21,7 @@
   store_->Ask({table_, sent_.back().id, std::move(query), heard_for});
 }
 
-std::optional<StoreQuestions::Sent> StoreQuestions::Take(std::uint64_t id) {
+std::optional<StoreRequests::Sent> StoreRequests::Take(std::uint64_t id) {
   const auto it =
       std::find_if(sent_.begin(), sent_.end(),
                    [id](const Sent& sent) { return sent.id == id; });
@@ -33,12 +33,12 @@
   return sent;
 }
 
-const StoreQuestions::Sent* StoreQuestions::Awaited() const {
+const StoreRequests::Sent* StoreRequests::Awaited() const {
   return !sent_.empty() && sent_.back().awaited ? &sent_.back() : nullptr;
 }
 
-std::optional<StoreQuestions::Sent> StoreQuestions::GiveUp(TimeUs now,
-                                                           DurationUs in_time) {
+std::optional<StoreRequests::Sent> StoreRequests::GiveUp(TimeUs now,
+                                                         DurationUs in_time) {
   const Sent* const awaited = Awaited();
   if (awaited == nullptr ||
       now - awaited->asked_at < awaited->query.wait + in_time) {
--- a/src/coordination/tables/store_questions.h
+++ b/src/coordination/tables/store_requests.h
@@ -6,8 +6,8 @@
 // the lost question's time is over. So a question is no longer awaited after
 // `FreshnessPlan::store_in_time`, or when a newer one takes its place, but its
 // answer is taken until `kHeard`.
-#ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_QUESTIONS_H_
-#define ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_QUESTIONS_H_
+#ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
+#define ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
 
 #include <cstdint>
 #include <optional>
@@ -27,7 +27,7 @@
   DurationUs wait = 0;
 };
 
-struct StoreQuestion {
+struct StoreRequest {
   std::string table;
   std::uint64_t id = 0;  // Unique for the table.
   TableQuery query;
@@ -39,12 +39,12 @@
  public:
   virtual ~StoreReader() = default;
   // One answer follows each under its table and id, also on a timeout.
-  virtual void Ask(const StoreQuestion& question) = 0;
+  virtual void Ask(const StoreRequest& request) = 0;
   // No answer follows any more.
   virtual void Forget(const std::string& table, std::uint64_t id) = 0;
 };
 
-class StoreQuestions {
+class StoreRequests {
  public:
   static constexpr DurationUs kHeard = 3 * kSecond;
   // In progress at once. Beyond it the oldest, which a slow store answers
@@ -58,7 +58,7 @@
     bool awaited = true;
   };
 
-  StoreQuestions(std::string table, StoreReader* store);
+  StoreRequests(std::string table, StoreReader* store);
 
   // In place of the one that is awaited, if there is one.
   void Ask(TimeUs now, TableQuery query);
@@ -79,4 +79,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_QUESTIONS_H_
+#endif  // ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
--- a/src/coordination/tables/table_relay.cc
+++ b/src/coordination/tables/table_relay.cc
@@ -84,14 +84,14 @@
 
 void TableRelay::Reply(const Held& held, TableAnswer answer) {
   output_->SendToPeer(
-      held.from, TableReply{table_, held.question.sequence, std::move(answer)});
+      held.from, TableReply{table_, held.request.sequence, std::move(answer)});
 }
 
-bool TableRelay::CanAnswer(const TableQuestion& it) const {
+bool TableRelay::CanAnswer(const TableRequest& it) const {
   return known_ && (it.whole ? version_ >= it.after : it.after >= kept_from_);
 }
 
-bool TableRelay::HasNews(const TableQuestion& it) const {
+bool TableRelay::HasNews(const TableRequest& it) const {
   const auto above = [&](const Changes& changes) {
     return !changes.empty() && changes.rbegin()->first > it.after;
   };
@@ -99,7 +99,7 @@
 }
 
 bool TableRelay::AnswersAtOnce(const Held& held) const {
-  const TableQuestion& it = held.question;
+  const TableRequest& it = held.request;
   if (!CanAnswer(it)) {
     return true;  // That it cannot.
   }
@@ -112,38 +112,38 @@
 }
 
 TableAnswer TableRelay::News(const Held& held) const {
-  const TableQuestion& question = held.question;
+  const TableRequest& request = held.request;
   TableAnswer answer;
-  if (!known_ || (question.whole && bytes_ > kMostBytes)) {
+  if (!known_ || (request.whole && bytes_ > kMostBytes)) {
     answer.why = "the table is not held here";
     return answer;
   }
-  if (question.whole && version_ < question.after) {
+  if (request.whole && version_ < request.after) {
     answer.why = "an older table than the asker's";
     return answer;
   }
-  if (!question.whole && question.after < kept_from_) {
+  if (!request.whole && request.after < kept_from_) {
     answer.kind = TableAnswer::Kind::kHistoryGone;
     return answer;
   }
   answer.kind = TableAnswer::Kind::kRows;
   answer.version = version_;
-  if (version_ < question.after) {
+  if (version_ < request.after) {
     answer.known_after.reset();  // The asker knows more.
     return answer;
   }
   answer.known_after = known_at_ - held.arrived_at;
-  if (question.whole) {
+  if (request.whole) {
     answer.rows.reserve(rows_.size());
     for (const auto& [key, row] : rows_) {
       answer.rows.push_back(row);
     }
     return answer;
   }
-  if (version_ == question.after) {
+  if (version_ == request.after) {
     return answer;
   }
-  const std::pair<std::uint64_t, std::string> first{question.after + 1, ""};
+  const std::pair<std::uint64_t, std::string> first{request.after + 1, ""};
   for (auto it = changed_.lower_bound(first); it != changed_.end(); ++it) {
     answer.rows.push_back(rows_.at(it->second));
   }
@@ -163,9 +163,9 @@
   return answer;
 }
 
-void TableRelay::OnQuestion(TimeUs now,
-                            const NodeId& from,
-                            const TableQuestion& it) {
+void TableRelay::OnTableRequest(TimeUs now,
+                                const NodeId& from,
+                                const TableRequest& it) {
   std::erase_if(held_, [&](const Held& held) { return held.from == from; });
   const Held held{from, it, now, now + kMostHeld};
   if (AnswersAtOnce(held)) {
--- a/src/coordination/tables/table_relay.h
+++ b/src/coordination/tables/table_relay.h
@@ -53,7 +53,7 @@
   void OnCurrent(TimeUs known_at, std::uint64_t version);
   void OnLost();
 
-  void OnQuestion(TimeUs now, const NodeId& from, const TableQuestion& it);
+  void OnTableRequest(TimeUs now, const NodeId& from, const TableRequest& it);
   void OnPeerLost(const NodeId& peer);
   // Answers what was held long enough; call it every 10 ms.
   void OnTick(TimeUs now);
@@ -61,14 +61,14 @@
  private:
   struct Held {
     NodeId from;
-    TableQuestion question;
+    TableRequest request;
     TimeUs arrived_at = 0;
     TimeUs until = 0;
   };
 
-  bool HasNews(const TableQuestion& it) const;
+  bool HasNews(const TableRequest& it) const;
   // Whether enough is known, be there news or not.
-  bool CanAnswer(const TableQuestion& it) const;
+  bool CanAnswer(const TableRequest& it) const;
   bool AnswersAtOnce(const Held& held) const;
   void Reply(const Held& held, TableAnswer answer);
   // All that is newer than the question asks for.
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -30,7 +30,7 @@
       metrics_(metrics),
       log_(log),
       on_answer_(std::move(on_answer)),
-      store_questions_(table_, store) {}
+      store_requests_(table_, store) {}
 
 void TableSource::ReadRows(TimeUs now,
                            const std::string&,
@@ -54,7 +54,7 @@
 }
 
 void TableSource::AskStoreWhenOld(TimeUs now) {
-  const StoreQuestions::Sent* const awaited = store_questions_.Awaited();
+  const StoreRequests::Sent* const awaited = store_requests_.Awaited();
   const bool held = awaited != nullptr && awaited->query.wait > 0;
   if (!IsWanted() || known_at_ < 0 || !IsOld(now) || !MayAskStore(now) ||
       (awaited != nullptr && !held)) {
@@ -99,7 +99,7 @@
 }
 
 void TableSource::AskStore(TimeUs now) {
-  if (store_questions_.Awaited() == nullptr) {
+  if (store_requests_.Awaited() == nullptr) {
     SendToStore(now);
   }
 }
@@ -118,7 +118,7 @@
   if (peer_call_.peer.empty()) {
     TellSource(now, std::string(kStore), why_);
   }
-  store_questions_.Ask(now, std::move(query));
+  store_requests_.Ask(now, std::move(query));
 }
 
 // The store may serve just those that are no relays: relays that find no other
@@ -151,7 +151,7 @@
   peer_call_ = {peer, ++next_sequence_, now};
   metrics_->Count("acaciachute_gateway_table_questions_total", "relay");
   TellSource(now, peer, why_);
-  TableQuestion it;
+  TableRequest it;
   it.table = table_;
   it.sequence = peer_call_.sequence;
   it.whole = question_.query.whole;
@@ -165,7 +165,7 @@
 void TableSource::OnStoreAnswer(TimeUs now,
                                 std::uint64_t id,
                                 TableAnswer answer) {
-  const auto sent = store_questions_.Take(id);
+  const auto sent = store_requests_.Take(id);
   if (!sent) {
     return;
   }
@@ -202,7 +202,7 @@
 
 // A relay may have answered the question that this one was; what changed since
 // then is in the answer too.
-bool TableSource::Fits(const StoreQuestions::Sent& sent,
+bool TableSource::Fits(const StoreRequests::Sent& sent,
                        const TableAnswer& answer) const {
   const TableQuery& query = question_.query;
   return IsWanted() && sent.query.whole == query.whole &&
@@ -210,7 +210,7 @@
          (query.whole || answer.version >= query.after);
 }
 
-void TableSource::TellLate(TimeUs now, const StoreQuestions::Sent& sent) {
+void TableSource::TellLate(TimeUs now, const StoreRequests::Sent& sent) {
   const DurationUs took = now - sent.asked_at;
   if (sent.awaited || took < sent.query.wait + StoreInTime()) {
     return;
@@ -269,7 +269,7 @@
     AskStore(now);
   }
   const bool store_is_lost =
-      store_failed_ && store_questions_.Awaited() == nullptr;
+      store_failed_ && store_requests_.Awaited() == nullptr;
   if (store_is_lost && !MayAskStore(now)) {
     Fail(now, answer);
     return;
@@ -338,7 +338,7 @@
   if (peer_call_.peer.empty() && MayAskStore(now)) {
     AskStore(now);
   }
-  if (!peer_call_.peer.empty() || store_questions_.Awaited() != nullptr) {
+  if (!peer_call_.peer.empty() || store_requests_.Awaited() != nullptr) {
     return;
   }
   TableAnswer failed;
@@ -367,7 +367,7 @@
 }
 
 void TableSource::GiveUpStore(TimeUs now) {
-  const auto sent = store_questions_.GiveUp(now, StoreInTime());
+  const auto sent = store_requests_.GiveUp(now, StoreInTime());
   if (!sent) {
     return;
   }
--- a/src/coordination/tables/table_source.h
+++ b/src/coordination/tables/table_source.h
@@ -26,7 +26,7 @@
 #include "coordination/membership/gateway_peers.h"
 #include "coordination/tables/freshness_plan.h"
 #include "coordination/tables/remote_clock.h"
-#include "coordination/tables/store_questions.h"
+#include "coordination/tables/store_requests.h"
 #include "coordination/tables/table_relay.h"
 #include "coordination/tables/table_watch.h"
 #include "messages.h"
@@ -122,8 +122,8 @@
   // Whether an answer is of use; also one that comes after the failure.
   bool IsWanted() const;
   // Whether this is one.
-  bool Fits(const StoreQuestions::Sent& sent, const TableAnswer& answer) const;
-  void TellLate(TimeUs now, const StoreQuestions::Sent& sent);
+  bool Fits(const StoreRequests::Sent& sent, const TableAnswer& answer) const;
+  void TellLate(TimeUs now, const StoreRequests::Sent& sent);
   void OnStoreFailed(TimeUs now, TimeUs asked_at, const TableAnswer& answer);
   bool IsOpen() const { return question_.state == State::kOpen; }
   void OnStoreLostAtPeer(TimeUs now, const TableAnswer& answer);
@@ -144,7 +144,7 @@
   const AnswerFn on_answer_;
 
   Question question_;
-  StoreQuestions store_questions_;
+  StoreRequests store_requests_;
   PeerCall peer_call_;
   RemoteClock store_clock_;
   std::uint64_t next_sequence_ = 0;
--- a/src/daemon/entry_node.cc
+++ b/src/daemon/entry_node.cc
@@ -228,7 +228,7 @@
                           const NodeId& from,
                           Incarnation from_incarnation,
                           const Heartbeat& heartbeat);
-  void LogCurrency();
+  void LogSettingsFreshness();
   void ReadHostList();
   void Rearm();
   void Transact(StorePurpose purpose,
@@ -464,7 +464,7 @@
   mesh.SendDatagram(peer, heartbeat);
 }
 
-void EntryNode::Impl::LogCurrency() {
+void EntryNode::Impl::LogSettingsFreshness() {
   const bool current = sync.IsCurrent(Loop::Now());
   if (current != was_current) {
     was_current = current;
@@ -553,7 +553,7 @@
   impl_->loop->Every(kSettingsTickPeriod, [this] {
     impl_->sync.OnTick(Loop::Now());
     impl_->control.OnTick(Loop::Now(), impl_->entry.replicas());
-    impl_->LogCurrency();
+    impl_->LogSettingsFreshness();
   });
   impl_->sync.OnTick(Loop::Now());
   impl_->loop->Every(Membership::kTick,
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -73,7 +73,7 @@
       kKeyAgeShare * static_cast<double>(settings.key_revocation));
   options.budget = settings.retries;
   options.cold = settings.cold;
-  options.replica_beat = settings.replica_beat;
+  options.replica_heartbeat_period = settings.replica_heartbeat_period;
   return options;
 }
 
@@ -101,9 +101,9 @@
       batchers(&directory,
                this,
                [this](const std::string& service) {
-                 return gateway->BudgetOf(service);
+                 return gateway->RetryBudgetOf(service);
                }),
-      desk(settings.node, &peers, &batchers, &directory, this, &log),
+      dispatcher(settings.node, &peers, &batchers, &directory, this, &log),
       join(settings.node,
            {settings.ip, settings.first_peer_port},
            this,
@@ -134,7 +134,7 @@
                &random,
                &metrics,
                &log) {
-  gateway = std::make_unique<Gateway>(OptionsOf(settings), this, &desk,
+  gateway = std::make_unique<Gateway>(OptionsOf(settings), this, &dispatcher,
                                       &directory, &random, &metrics, &log);
   ApplyBounds();
 }
@@ -177,7 +177,7 @@
   directory.OnTick(now);
   TickPeers(now);
   batchers.OnTick(now);
-  desk.OnTick(now);
+  dispatcher.OnTick(now);
   gateway->OnTick();
   if (draining) {
     CheckDrained();
@@ -207,7 +207,7 @@
   }
   const bool idle = elapsed >= kMinDrainDuration &&
                     gateway->in_progress() == 0 && clients.exchanges() == 0 &&
-                    desk.ServesNobody();
+                    dispatcher.ServesNobody();
   if (!idle && elapsed < settings.grace - kExitReserve) {
     return;
   }
@@ -248,14 +248,14 @@
   settings.key_revocation = reloaded->key_revocation;
   settings.retries = reloaded->retries;
   settings.cold = reloaded->cold;
-  settings.replica_beat = reloaded->replica_beat;
+  settings.replica_heartbeat_period = reloaded->replica_heartbeat_period;
   settings.freshness = reloaded->freshness;
   ApplyBounds();
   gateway->SetOptions(after);
 }
 
 bool GatewayNode::Impl::Ready() const {
-  return !draining && gateway->current() && replicas.watch.known();
+  return !draining && gateway->can_check_keys() && replicas.watch.known();
 }
 
 void GatewayNode::Impl::OnOperatorRequest(ExchangeId id,
@@ -292,7 +292,7 @@
 void GatewayNode::Impl::OnRequest(ExchangeId id,
                                   HttpRequestHead head,
                                   std::string body) {
-  auto call = platform::ReadClientCall(std::move(head), std::move(body));
+  auto call = platform::ReadClientRequest(std::move(head), std::move(body));
   if (!call.ok()) {
     log.Write("malformed", {{"why", std::string(call.status().message())}});
     metrics.Count("acaciachute_gateway_refused_total",
@@ -311,24 +311,24 @@
       {{"what", event.what}, {"status", event.status}, {"why", event.reason}});
 }
 
-void GatewayNode::Impl::Refuse(ExchangeId id, const OwnAnswer& answer) {
-  const auto reply = platform::WriteOwnAnswer(answer);
+void GatewayNode::Impl::Refuse(ExchangeId id, const LocalReply& answer) {
+  const auto reply = platform::WriteLocalReply(answer);
   clients.Reply(id, reply.status, reply.fields, reply.body);
 }
 
-CallId GatewayNode::Impl::Send(const SendOrder& order) {
+CallId GatewayNode::Impl::Send(const AttemptRequest& attempt) {
   // The replica may close an idle connection just as it is used, and then it is
   // unknown whether the request ran. That is less likely if the connection was
   // used recently, so requests that must not be repeated use no others.
   constexpr DurationUs kMaxIdleForUnrepeatable = kSecond;
   ChannelOptions options;
-  if (!order.may_repeat) {
+  if (!attempt.may_repeat) {
     options.most_idle = kMaxIdleForUnrepeatable;
   }
   options.connect = std::min(kConnectTimeout, replicas.plan.Connect());
-  options.most_kept = order.most_idle_connections;
-  return channels.Start(order.address, platform::WriteSendOrder(order), options,
-                        this);
+  options.most_kept = attempt.most_idle_connections;
+  return channels.Start(attempt.address, platform::WriteAttemptRequest(attempt),
+                        options, this);
 }
 
 // Logs calls that failed or produced only some of their pieces. A line for each
@@ -354,11 +354,11 @@
                {"made", made},
                {"late", of(PieceOutcome::kLate)},
                {"input_gone", of(PieceOutcome::kInputGone)},
-               {"no_room", of(PieceOutcome::kNoRoom)},
+               {"no_room", of(PieceOutcome::kOutOfMemory)},
                {"failed", of(PieceOutcome::kFailed)}});
   }
   batchers.OnCallEnd(Now(), service, id, end);
-  desk.SendResults();
+  dispatcher.SendResults();
 }
 
 void GatewayNode::Impl::StartCall(const PieceCall& call) {
--- a/src/daemon/gateway_node_impl.h
+++ b/src/daemon/gateway_node_impl.h
@@ -12,8 +12,8 @@
 #include "coordination/gateway/gateway.h"
 #include "coordination/membership/gateway_join.h"
 #include "coordination/membership/gateway_peers.h"
-#include "coordination/stages/local_piece_desk.h"
-#include "coordination/stages/shared_piece_desk.h"
+#include "coordination/stages/local_piece_dispatcher.h"
+#include "coordination/stages/shared_piece_dispatcher.h"
 #include "coordination/tables/table_relay.h"
 #include "coordination/tables/table_source.h"
 #include "coordination/tables/table_watch.h"
@@ -53,12 +53,12 @@
 };
 
 struct GatewayNode::Impl : public ListenerHandler,
-                           public GatewayPorts,
+                           public GatewayOutput,
                            public CallSink,
                            public TableListener,
                            public DirectoryWatcher,
                            public PieceBatcherOutput,
-                           public SharedPieceDeskOutput,
+                           public SharedPieceDispatcherOutput,
                            public PeerHandler,
                            public TableRelayOutput,
                            public GatewayJoinOutput {
@@ -102,7 +102,7 @@
 
   // GatewayPorts:
   TimeUs Now() override { return Loop::BootNow(); }
-  void Refuse(ExchangeId id, const OwnAnswer& answer) override;
+  void Refuse(ExchangeId id, const LocalReply& answer) override;
   void Answer(ExchangeId id,
               const ReplicaHead& head,
               std::string_view body) override {
@@ -117,7 +117,7 @@
   void EndStream(ExchangeId id) override { clients.EndStream(id); }
   void Break(ExchangeId id) override { clients.Break(id); }
   std::size_t Unsent(ExchangeId id) override { return clients.Unsent(id); }
-  CallId Send(const SendOrder& order) override;
+  CallId Send(const AttemptRequest& attempt) override;
   void Cancel(CallId id) override { channels.Cancel(id); }
   void SetReading(CallId id, bool reading) override {
     channels.SetReading(id, reading);
@@ -150,7 +150,7 @@
                           std::uint64_t version);
   void ApplyOperatorRow(const TableRow& row);
   // Returns nullopt if the row is no evacuation or names no failure domain.
-  std::optional<EvacuationOrder> ReadEvacuation(const TableRow& row);
+  std::optional<EvacuationRow> ReadEvacuation(const TableRow& row);
   void ApplyConfig(const TableRow& row);
   // Logs a refused row once per key and reason, however often it is written.
   void LogRefusedRow(std::string_view event,
@@ -173,17 +173,17 @@
   // PieceBatcherOutput
   void StartCall(const PieceCall& call) override;
   void OnPiece(const PieceResult& result) override {
-    desk.OnLocalPiece(result);
+    dispatcher.OnLocalPiece(result);
   }
   void FreeAt(const Address& replica,
               const std::vector<std::string>& handles) override {
     pieces.Free(replica, handles);
   }
   void OnInputsRead(const std::vector<std::string>& handles) override {
-    desk.Free(handles);
+    dispatcher.Free(handles);
   }
   bool ShortOfMemory(const std::vector<std::string>& handles) override {
-    return desk.ShortOfMemory(handles);
+    return dispatcher.ShortOfMemory(handles);
   }
 
   // SharedPieceDeskOutput, TableRelayOutput
@@ -217,8 +217,8 @@
 
   void TickPeers(TimeUs now);
   void UpdateKnownGateways(TimeUs now);
-  void SendBeats(TimeUs now);
-  GatewayBeat BeatNow(TimeUs now) const;
+  void SendHeartbeats(TimeUs now);
+  GatewayHeartbeat CurrentHeartbeat(TimeUs now) const;
 
   HostSettings settings;
   Loop* const loop;
@@ -235,8 +235,8 @@
   std::unique_ptr<Gateway> gateway;
   const Incarnation incarnation;
   GatewayPeers peers;
-  LocalPieceDesk batchers;
-  SharedPieceDesk desk;
+  LocalPieceDispatcher batchers;
+  SharedPieceDispatcher dispatcher;
   std::unique_ptr<PeerMesh> mesh;  // Null until the frame key is known.
   GatewayJoin join;
   TimeUs next_peer_check_at = 0;
--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -10,7 +10,8 @@
 
 // Period of checks of all peers, which iterate over all gateways: a fifth of
 // the shortest heartbeat period.
-constexpr DurationUs kPeerCheckPeriod = GatewayPeers::kBeat / 5;
+constexpr DurationUs kPeerCheckPeriod =
+    GatewayPeers::kGatewayHeartbeatPeriod / 5;
 // Period of updates of the list of known gateways.
 constexpr DurationUs kKnownGatewaysPeriod = 250 * kMillisecond;
 // Time after reading the other gateways' rows until all of them have received a
@@ -28,15 +29,15 @@
   peers.OnTick(now);
   for (const NodeId& peer : peers.TakeLost(now)) {
     gateway->engines()->SetOthers(peer, {});
-    desk.OnPeerLost(now, peer);
+    dispatcher.OnPeerLost(now, peer);
   }
   UpdateKnownGateways(now);
-  gateway->SetEntries(peers.Live());
-  gateway->SetAnotherIsCurrent(peers.AnotherIsCurrent());
+  gateway->SetGatewayCount(peers.Live());
+  gateway->SetPeerCanCheckKeys(peers.AnyPeerCanCheckKeys());
   if (mesh == nullptr) {
     return;
   }
-  SendBeats(now);
+  SendHeartbeats(now);
 }
 
 // Passes the list of known gateways on, by which limits are divided among them.
@@ -52,38 +53,38 @@
   gateway->SetKnownGateways(settled ? peers.Known(now) : std::vector<NodeId>());
 }
 
-void GatewayNode::Impl::SendBeats(TimeUs now) {
-  const DurationUs period = peers.Period(desk.Batches());
-  const std::vector<DueBeat> due = peers.DueBeats(now, period);
-  const std::vector<DueBeat> questions = peers.DueQuestions(now);
-  if (due.empty() && questions.empty()) {
+void GatewayNode::Impl::SendHeartbeats(TimeUs now) {
+  const DurationUs period = peers.Period(dispatcher.Batches());
+  const std::vector<DueHeartbeat> due = peers.DueHeartbeats(now, period);
+  const std::vector<DueHeartbeat> probes = peers.DueProbes(now);
+  if (due.empty() && probes.empty()) {
     return;
   }
-  GatewayBeat beat = BeatNow(now);
-  for (const DueBeat& it : due) {
-    beat.period = it.promise;
-    mesh->SendDatagram(it.node, beat);
+  GatewayHeartbeat heartbeat = CurrentHeartbeat(now);
+  for (const DueHeartbeat& it : due) {
+    heartbeat.period = it.promise;
+    mesh->SendDatagram(it.node, heartbeat);
   }
-  beat.asks = true;
-  for (const DueBeat& it : questions) {
-    beat.period = it.promise;
-    mesh->SendDatagram(it.node, beat);
+  heartbeat.requests_reply = true;
+  for (const DueHeartbeat& it : probes) {
+    heartbeat.period = it.promise;
+    mesh->SendDatagram(it.node, heartbeat);
   }
 }
 
-GatewayBeat GatewayNode::Impl::BeatNow(TimeUs now) const {
-  GatewayBeat beat;
-  beat.address = {settings.ip, settings.first_peer_port};
-  beat.leaving = draining;
-  beat.current = gateway->current();
-  beat.cores = settings.cores;
-  beat.domain = settings.domain;
-  beat.waits = desk.OwnWaits(now);
+GatewayHeartbeat GatewayNode::Impl::CurrentHeartbeat(TimeUs now) const {
+  GatewayHeartbeat heartbeat;
+  heartbeat.address = {settings.ip, settings.first_peer_port};
+  heartbeat.leaving = draining;
+  heartbeat.can_check_keys = gateway->can_check_keys();
+  heartbeat.cores = settings.cores;
+  heartbeat.domain = settings.domain;
+  heartbeat.waits = dispatcher.OwnQueueWaits(now);
   for (const auto& [replica, load] : gateway->engines()->own()) {
-    beat.work.push_back(
-        {replica.name, replica.life, load.running, load.unread_tokens});
+    heartbeat.work.push_back(
+        {replica.name, replica.incarnation, load.running, load.unread_tokens});
   }
-  return beat;
+  return heartbeat;
 }
 
 void GatewayNode::Impl::SendToPeer(const NodeId& peer, const Message& message) {
@@ -94,17 +95,17 @@
                                       Incarnation,
                                       const Message& message) {
   const TimeUs now = Now();
-  if (const auto* orders = std::get_if<PieceOrders>(&message)) {
-    desk.OnPeerOrders(now, from, *orders);
-  } else if (const auto* drop = std::get_if<PieceDrop>(&message)) {
-    desk.OnPeerDrop(*drop);
-  } else if (const auto* free = std::get_if<PieceFree>(&message)) {
-    desk.OnPeerFree(*free);
+  if (const auto* tasks = std::get_if<PieceTasks>(&message)) {
+    dispatcher.OnPeerTasks(now, from, *tasks);
+  } else if (const auto* cancel = std::get_if<PieceCancel>(&message)) {
+    dispatcher.OnPeerCancel(*cancel);
+  } else if (const auto* release = std::get_if<PieceRelease>(&message)) {
+    dispatcher.OnPeerRelease(*release);
   } else if (const auto* results = std::get_if<PieceResults>(&message)) {
-    desk.OnPeerResults(*results);
-  } else if (const auto* question = std::get_if<TableQuestion>(&message)) {
-    if (FollowedTable* it = FindFollowedTable(question->table)) {
-      it->relay.OnQuestion(now, from, *question);
+    dispatcher.OnPeerResults(*results);
+  } else if (const auto* request = std::get_if<TableRequest>(&message)) {
+    if (FollowedTable* it = FindFollowedTable(request->table)) {
+      it->relay.OnTableRequest(now, from, *request);
     }
   } else if (const auto* reply = std::get_if<TableReply>(&message)) {
     if (FollowedTable* it = FindFollowedTable(reply->table)) {
@@ -115,7 +116,7 @@
 
 void GatewayNode::Impl::OnPeerLost(const NodeId& peer) {
   const TimeUs now = Now();
-  desk.OnPeerLost(now, peer);
+  dispatcher.OnPeerLost(now, peer);
   for (FollowedTable* it : {&configuration, &replicas}) {
     it->relay.OnPeerLost(peer);
     it->source.OnPeerLost(now, peer);
@@ -125,19 +126,19 @@
 void GatewayNode::Impl::OnPeerDatagram(const NodeId& from,
                                        Incarnation peer_incarnation,
                                        const Message& message) {
-  const auto* beat = std::get_if<GatewayBeat>(&message);
-  if (beat == nullptr) {
+  const auto* heartbeat = std::get_if<GatewayHeartbeat>(&message);
+  if (heartbeat == nullptr) {
     return;
   }
-  if (peers.OnBeat(Now(), from, peer_incarnation, *beat)) {
-    mesh->SetAddress(from, beat->address);
+  if (peers.OnGatewayHeartbeat(Now(), from, peer_incarnation, *heartbeat)) {
+    mesh->SetAddress(from, heartbeat->address);
   }
   std::map<ReplicaId, EngineLoad> loads;
-  for (const EngineWork& it : beat->work) {
-    loads[{it.replica, it.life}] = {it.running, it.unread_tokens};
+  for (const EngineWork& it : heartbeat->work) {
+    loads[{it.replica, it.incarnation}] = {it.running, it.unread_tokens};
   }
   gateway->engines()->SetOthers(from, loads);
-  desk.OnPeerWaits(beat->waits);
+  dispatcher.OnPeerQueueWaits(heartbeat->waits);
 }
 
 void GatewayNode::Impl::WriteGateway(const std::string& key,
--- a/src/daemon/gateway_node_store.cc
+++ b/src/daemon/gateway_node_store.cc
@@ -119,7 +119,7 @@
   }
 }
 
-std::optional<EvacuationOrder> GatewayNode::Impl::ReadEvacuation(
+std::optional<EvacuationRow> GatewayNode::Impl::ReadEvacuation(
     const TableRow& row) {
   auto domain = platform::ParseEvacuation(row.key);
   if (!domain.ok()) {
@@ -131,12 +131,12 @@
   if (!*domain) {
     return std::nullopt;
   }
-  return EvacuationOrder{**std::move(domain), row.version};
+  return EvacuationRow{**std::move(domain), row.version};
 }
 
 void GatewayNode::Impl::ApplyOperatorTable(const std::vector<TableRow>& rows,
                                            std::uint64_t version) {
-  std::vector<EvacuationOrder> orders;
+  std::vector<EvacuationRow> orders;
   for (const TableRow& it : rows) {
     if (auto order = ReadEvacuation(it)) {
       orders.push_back(*std::move(order));
@@ -153,7 +153,7 @@
 void GatewayNode::Impl::ApplyOperatorRow(const TableRow& row) {
   if (const auto order = ReadEvacuation(row)) {
     if (row.removed) {
-      evacuations.OnTakenBack(Now(), *order);
+      evacuations.OnEvacuationEnded(Now(), *order);
     } else if (evacuations.OnOrder(*order)) {
       gateway->OnEvacuated();
     }
@@ -201,7 +201,7 @@
 void GatewayNode::Impl::OnReplica(const ReplicaEntry& replica,
                                   DirectoryChange change) {
   log.Write("replica", {{"replica", replica.id.name},
-                        {"life", replica.id.life},
+                        {"life", replica.id.incarnation},
                         {"service", replica.service},
                         {"change", Name(change)},
                         {"list_ms", directory.Age(Now()) / kMillisecond},
@@ -215,7 +215,7 @@
     batchers.OnReplicaGone(Now(), replica);
   } else if (restarted) {
     batchers.OnReplicaRestarted(Now(), replica);
-    desk.SendResults();
+    dispatcher.SendResults();
   }
 }
 
--- a/src/messages.h
+++ b/src/messages.h
@@ -20,7 +20,7 @@
 struct QuarantineRecord {
   std::uint64_t fingerprint = 0;
   std::uint32_t epoch = 0;
-  Standing standing = Standing::kClear;
+  QuarantineState quarantine_state = QuarantineState::kClear;
   DurationUs age = 0;  // Time since the record last changed.
   std::string account;
   // Sidecars whose upstreams crashed while they ran the request.
@@ -195,45 +195,47 @@
 // Work that a gateway has in progress at one engine replica.
 struct EngineWork {
   std::string replica;
-  Incarnation life = 0;  // The replica's incarnation, as the sender knows it.
+  Incarnation incarnation =
+      0;  // The replica's incarnation, as the sender knows it.
   std::uint32_t running = 0;
   // Prompt tokens of requests that have not produced their first token.
   std::uint64_t unread_tokens = 0;
 };
 
 // Expected wait in the queue of a service whose pieces the sender batches.
-struct ServiceWait {
+struct ServiceQueueWait {
   std::string service;
-  PoolWait wait;
+  QueueWait wait;
 };
 
 // Gateway to gateway, over UDP: periodic heartbeat with the sender's work in
 // progress and queue waits.
-struct GatewayBeat {
+struct GatewayHeartbeat {
   // The sender's listening address, for peers that do not know it yet.
   Address address;
   bool leaving = false;
   // Whether the sender's configuration is recent enough to check client keys.
-  bool current = false;
+  bool can_check_keys = false;
   double cores = 1;    // Processor cores available to the sender.
   std::string domain;  // Failure domain of the sender's host.
   // Maximum time until the sender's next heartbeat to this receiver.
   DurationUs period = 150 * kMillisecond;
-  bool asks = false;  // A probe: the receiver sends a heartbeat at once.
+  bool requests_reply =
+      false;  // A probe: the receiver sends a heartbeat at once.
   std::vector<EngineWork> work;
-  std::vector<ServiceWait> waits;
+  std::vector<ServiceQueueWait> waits;
 };
 
 // Gateway to the gateway that batches a service's pieces: tasks to run.
-struct PieceOrders {
-  std::vector<PieceOrder> orders;
+struct PieceTasks {
+  std::vector<PieceTask> tasks;
 };
 // Gateway to gateway: cancels the pieces of a request.
-struct PieceDrop {
+struct PieceCancel {
   std::string request;
 };
 // Gateway to gateway: releases results that are no longer needed.
-struct PieceFree {
+struct PieceRelease {
   std::vector<std::string> handles;
 };
 // Gateway to gateway: results of the tasks that the receiver sent.
@@ -243,7 +245,7 @@
 
 // Gateway to gateway, over TCP: requests the changes of a table of the store.
 // While there are none, the receiver delays its reply by up to `wait`.
-struct TableQuestion {
+struct TableRequest {
   std::string table;
   std::uint64_t sequence = 0;  // Numbers the sender's requests.
   bool whole = false;          // Requests all rows; else those after `after`.
@@ -269,12 +271,12 @@
                              ReachReport,
                              ControlOrder,
                              ControlOrderResult,
-                             GatewayBeat,
-                             PieceOrders,
-                             PieceDrop,
-                             PieceFree,
+                             GatewayHeartbeat,
+                             PieceTasks,
+                             PieceCancel,
+                             PieceRelease,
                              PieceResults,
-                             TableQuestion,
+                             TableRequest,
                              TableReply>;
 
 }  // namespace acaciachute
--- a/src/protocol/frame.cc
+++ b/src/protocol/frame.cc
@@ -31,7 +31,7 @@
 }
 template <class A>
 void serialize(A& a, QuarantineRecord& v) {
-  a(v.fingerprint, v.epoch, v.standing, v.age, v.account, v.crashed_at);
+  a(v.fingerprint, v.epoch, v.quarantine_state, v.age, v.account, v.crashed_at);
 }
 template <class A>
 void serialize(A& a, StageCall& v) {
@@ -103,41 +103,41 @@
 }
 template <class A>
 void serialize(A& a, EngineWork& v) {
-  a(v.replica, v.life, v.running, v.unread_tokens);
+  a(v.replica, v.incarnation, v.running, v.unread_tokens);
 }
 template <class A>
-void serialize(A& a, PoolWait& v) {
+void serialize(A& a, QueueWait& v) {
   a(v.in_time, v.late, v.memory);
 }
 template <class A>
-void serialize(A& a, ServiceWait& v) {
+void serialize(A& a, ServiceQueueWait& v) {
   a(v.service, v.wait);
 }
 template <class A>
-void serialize(A& a, GatewayBeat& v) {
-  a(v.address, v.leaving, v.current, v.cores, v.domain, v.period, v.asks,
-    v.work, v.waits);
+void serialize(A& a, GatewayHeartbeat& v) {
+  a(v.address, v.leaving, v.can_check_keys, v.cores, v.domain, v.period,
+    v.requests_reply, v.work, v.waits);
 }
 template <class A>
 void serialize(A& a, PieceKey& v) {
   a(v.request, v.stage, v.piece);
 }
 template <class A>
-void serialize(A& a, PieceOrder& v) {
+void serialize(A& a, PieceTask& v) {
   a(v.key, v.service, v.source, v.inputs, v.time_left, v.time_to_begin,
     v.waited, v.holds_bytes, v.priority, v.result_bytes, v.sole_users,
     v.near_domain);
 }
 template <class A>
-void serialize(A& a, PieceOrders& v) {
-  a(v.orders);
+void serialize(A& a, PieceTasks& v) {
+  a(v.tasks);
 }
 template <class A>
-void serialize(A& a, PieceDrop& v) {
+void serialize(A& a, PieceCancel& v) {
   a(v.request);
 }
 template <class A>
-void serialize(A& a, PieceFree& v) {
+void serialize(A& a, PieceRelease& v) {
   a(v.handles);
 }
 template <class A>
@@ -149,7 +149,7 @@
   a(v.results);
 }
 template <class A>
-void serialize(A& a, TableQuestion& v) {
+void serialize(A& a, TableRequest& v) {
   a(v.table, v.sequence, v.whole, v.after, v.wait, v.age);
 }
 template <class A>
--- a/src/protocol/quarantine_http.cc
+++ b/src/protocol/quarantine_http.cc
@@ -24,7 +24,7 @@
   Json records = Json::array();
   for (const QuarantineRecord& it : quarantine.All(now)) {
     records.push_back({{"fingerprint", FingerprintText(it.fingerprint)},
-                       {"standing", Name(it.standing)},
+                       {"standing", Name(it.quarantine_state)},
                        {"account", it.account},
                        {"crashed_at", it.crashed_at},
                        {"age_ms", it.age / kMillisecond}});
--- a/src/state/client_call.h
+++ b/src/state/client_request.h
@@ -1,7 +1,7 @@
 // A client's request, and the head of a replica's answer, in the form in which
 // gateways process them.
-#ifndef ACACIACHUTE_SRC_STATE_CLIENT_CALL_H_
-#define ACACIACHUTE_SRC_STATE_CLIENT_CALL_H_
+#ifndef ACACIACHUTE_SRC_STATE_CLIENT_REQUEST_H_
+#define ACACIACHUTE_SRC_STATE_CLIENT_REQUEST_H_
 
 #include <cstdint>
 #include <optional>
@@ -21,7 +21,7 @@
   std::uint32_t tokens = 0;
 };
 
-struct ClientCall {
+struct ClientRequest {
   // Request id; when the client itself retries, it sends another id.
   std::string id;
   std::string method;
@@ -60,4 +60,4 @@
 
 }  // namespace acaciachute
 
-#endif  // ACACIACHUTE_SRC_STATE_CLIENT_CALL_H_
+#endif  // ACACIACHUTE_SRC_STATE_CLIENT_REQUEST_H_
--- a/src/state/host_settings.h
+++ b/src/state/host_settings.h
@@ -11,18 +11,18 @@
 namespace acaciachute {
 
 // Limits the retries of requests to one service, summed over all gateways.
-struct AttemptBudgetLimits {
+struct ServiceRetryBudgetLimits {
   double ratio = 0.2;  // Retries per request within `window`.
   double slack = 50;   // Retries allowed in addition within `window`.
   DurationUs window = 10 * kSecond;
-  bool operator==(const AttemptBudgetLimits&) const = default;
+  bool operator==(const ServiceRetryBudgetLimits&) const = default;
 };
 
 // Limits the requests per second to one cold replica, summed over all gateways.
-struct ColdBound {
+struct ColdRateBound {
   double over = 1.5;  // Factor on the rate that a cold replica can handle.
   double slack = 5;   // Requests per second allowed in addition.
-  bool operator==(const ColdBound&) const = default;
+  bool operator==(const ColdRateBound&) const = default;
 };
 
 // Bounds on how long a host may act on a row that was replaced, measured from
@@ -56,10 +56,10 @@
   DurationUs key_revocation = 5 * kSecond;
   FreshnessBounds freshness;
   DurationUs grace = 8 * kSecond;  // Time between SIGTERM and SIGKILL.
-  AttemptBudgetLimits retries;
-  ColdBound cold;
+  ServiceRetryBudgetLimits retries;
+  ColdRateBound cold;
   // Period with which each replica writes its row to the store.
-  DurationUs replica_beat = 1200 * kMillisecond;
+  DurationUs replica_heartbeat_period = 1200 * kMillisecond;
 };
 
 }  // namespace acaciachute
--- a/src/state/piece.h
+++ b/src/state/piece.h
@@ -22,7 +22,7 @@
   auto operator<=>(const PieceKey&) const = default;
 };
 
-struct PieceOrder {
+struct PieceTask {
   PieceKey key;
   std::string service;
   std::string source;               // Input of a stage that needs no other.
@@ -48,9 +48,9 @@
 
 enum class PieceOutcome {
   kMade,
-  kLate,       // The time left ran out before the piece was started.
-  kInputGone,  // A result that the piece needs no longer exists.
-  kNoRoom,     // The replica has no free memory for the result.
+  kLate,         // The time left ran out before the piece was started.
+  kInputGone,    // A result that the piece needs no longer exists.
+  kOutOfMemory,  // The replica has no free memory for the result.
   kFailed,
   kNotMade,  // No replica was available.
 };
@@ -61,7 +61,7 @@
 }
 
 // Expected time that a piece queued now would wait until its call begins.
-struct PoolWait {
+struct QueueWait {
   // Number of priorities that are distinguished. Less urgent ones count as the
   // last of them.
   static constexpr std::size_t kRanks = 8;
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -17,13 +17,13 @@
 
 bool ReplicaDirectory::ApplyEnded(ReplicaEntry* entry) const {
   const auto it = ended_.find(entry->id.name);
-  if (it == ended_.end() || entry->id.life == 0) {
+  if (it == ended_.end() || entry->id.incarnation == 0) {
     return false;
   }
   const EndedIncarnation& ended = it->second;
-  entry->leaving =
-      entry->leaving || (entry->id.life == ended.life && ended.left);
-  return entry->id.life < ended.life;
+  entry->leaving = entry->leaving ||
+                   (entry->id.incarnation == ended.incarnation && ended.left);
+  return entry->id.incarnation < ended.incarnation;
 }
 
 void ReplicaDirectory::Insert(const ReplicaEntry& entry) {
@@ -55,7 +55,7 @@
   row->entry = entry;
   row->entry.leaving = before.leaving || entry.leaving;
   row->entry.cold_until = std::max(before.cold_until, entry.cold_until);
-  row->entry.back_at = before.back_at;
+  row->entry.evacuation_ended_at = before.evacuation_ended_at;
   row->unreadable = false;
   retained_.erase(entry.id.name);
   AddToIndexes(row);
@@ -75,21 +75,21 @@
   const auto it = entries_.find(entry.id.name);
   if (it == entries_.end()) {
     if (ApplyEnded(&entry)) {
-      watcher_->OnReplica(entry, DirectoryChange::kOlderLife);
+      watcher_->OnReplica(entry, DirectoryChange::kOlderIncarnation);
       return;
     }
     Insert(entry);
     NotifyAdded(entry);
     return;
   }
-  const Incarnation known = it->second.entry.id.life;
-  if (entry.id.life == known) {
+  const Incarnation known = it->second.entry.id.incarnation;
+  if (entry.id.incarnation == known) {
     Update(&it->second, entry);
-  } else if (entry.id.life == 0) {
+  } else if (entry.id.incarnation == 0) {
     // The replica's own rows have the start, so another writer wrote this one.
     PutUnreadable(entry.id.name);
-  } else if (entry.id.life < known) {
-    watcher_->OnReplica(entry, DirectoryChange::kOlderLife);
+  } else if (entry.id.incarnation < known) {
+    watcher_->OnReplica(entry, DirectoryChange::kOlderIncarnation);
   } else {
     Restart(it->second.entry, entry);
   }
@@ -100,7 +100,7 @@
 void ReplicaDirectory::Restart(const ReplicaEntry& known,
                                const ReplicaEntry& entry) {
   const ReplicaEntry before = known;  // A copy: `Insert` overwrites `known`.
-  const bool has_start = before.id.life != 0;
+  const bool has_start = before.id.incarnation != 0;
   Insert(entry);
   watcher_->OnReplica(
       before, has_start ? DirectoryChange::kRestarted : DirectoryChange::kGone);
@@ -201,11 +201,11 @@
   }
 }
 
-void ReplicaDirectory::TakeBack(TimeUs now, const std::string& domain) {
+void ReplicaDirectory::EndEvacuation(TimeUs now, const std::string& domain) {
   evacuated_.erase(domain);
   for (auto& [name, row] : entries_) {
     if (row.entry.domain == domain) {
-      row.entry.back_at = now;
+      row.entry.evacuation_ended_at = now;
       UpdateEligible(&row);
     }
   }
@@ -233,7 +233,8 @@
 // Several rows may name the same address, if it was reassigned or if another
 // writer wrote one of them. It is attributed to an eligible row if there is
 // one, and among equals to the one that was listed first.
-const ReplicaEntry* ReplicaDirectory::MakerOf(std::string_view handle) const {
+const ReplicaEntry* ReplicaDirectory::ProducerOf(
+    std::string_view handle) const {
   const auto it = by_address_.find(KeyOf(handle.substr(0, handle.find('/'))));
   if (it == by_address_.end()) {
     return nullptr;
@@ -262,8 +263,8 @@
 bool ReplicaDirectory::IsEligible(const Row& row) const {
   return !row.entry.leaving && !row.unreadable &&
          !evacuated_.contains(row.entry.domain) &&
-         (row.entry.id.life != 0 ||
-          services_.at(row.entry.service).lives_told == 0);
+         (row.entry.id.incarnation != 0 ||
+          services_.at(row.entry.service).incarnations_told == 0);
 }
 
 void ReplicaDirectory::Erase(TimeUs now, Rows::iterator it) {
@@ -272,8 +273,8 @@
   RemoveFromIndexes(&it->second);
   retained_.erase(entry.id.name);
   entries_.erase(it);
-  if (entry.id.life != 0) {
-    ended_[entry.id.name] = {entry.id.life, entry.leaving, now};
+  if (entry.id.incarnation != 0) {
+    ended_[entry.id.name] = {entry.id.incarnation, entry.leaving, now};
   }
   watcher_->OnReplica(entry, DirectoryChange::kGone);
 }
@@ -282,9 +283,9 @@
   row->address = AddressText(row->entry.address);
   by_address_[row->address].push_back(row);
   ServiceRows& service = services_[row->entry.service];
-  if (row->entry.id.life == 0) {
+  if (row->entry.id.incarnation == 0) {
     service.without_incarnation.insert(row);
-  } else if (service.lives_told++ == 0) {
+  } else if (service.incarnations_told++ == 0) {
     for (Row* it : service.without_incarnation) {
       UpdateEligible(it);
     }
@@ -301,14 +302,14 @@
   RemoveFromEligible(row);
   const auto service = services_.find(row->entry.service);
   ServiceRows& rows = service->second;
-  if (row->entry.id.life == 0) {
+  if (row->entry.id.incarnation == 0) {
     rows.without_incarnation.erase(row);
-  } else if (--rows.lives_told == 0) {
+  } else if (--rows.incarnations_told == 0) {
     for (Row* it : rows.without_incarnation) {
       UpdateEligible(it);
     }
   }
-  if (rows.lives_told == 0 && rows.without_incarnation.empty()) {
+  if (rows.incarnations_told == 0 && rows.without_incarnation.empty()) {
     services_.erase(service);
   }
 }
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -45,18 +45,18 @@
 struct ReplicaId {
   ReplicaId() = default;
   // Implicit: a name alone identifies an incarnation with unknown start.
-  ReplicaId(std::string name_in, Incarnation life_in = 0)
-      : name(std::move(name_in)), life(life_in) {}
+  ReplicaId(std::string name_in, Incarnation incarnation_in = 0)
+      : name(std::move(name_in)), incarnation(incarnation_in) {}
   ReplicaId(const char* name_in) : name(name_in) {}
 
   std::string name;
   // The start of the incarnation in Unix milliseconds; zero: unknown.
-  Incarnation life = 0;
+  Incarnation incarnation = 0;
 
   auto operator<=>(const ReplicaId&) const = default;
   template <typename H>
   friend H AbslHashValue(H hash, const ReplicaId& id) {
-    return H::combine(std::move(hash), id.name, id.life);
+    return H::combine(std::move(hash), id.name, id.incarnation);
   }
 };
 
@@ -70,7 +70,7 @@
   // End of the cold start according to the rows; the latest value is kept.
   TimeUs cold_until = 0;
   // When the last evacuation of its failure domain ended; zero: none has.
-  TimeUs back_at = 0;
+  TimeUs evacuation_ended_at = 0;
   // Number of calls that this incarnation has accepted, as the row states it;
   // it never decreases.
   std::uint64_t orders = 0;
@@ -85,7 +85,7 @@
   kKeptInOutage,  // Its row was removed, but the replica may still run.
   kUnreadable,    // Its row cannot be parsed; no new work until it can.
   kReadable,
-  kOlderLife,  // A row of an ended incarnation was ignored.
+  kOlderIncarnation,  // A row of an ended incarnation was ignored.
   // `ReplicaEntry::orders` decreased within an incarnation, so another writer
   // must have written the row.
   kCountFell,
@@ -141,9 +141,9 @@
   void OnTick(TimeUs now);
 
   // Stops new work for replicas in the failure domain, also for those listed
-  // later, until `TakeBack`.
+  // later, until `EndEvacuation`.
   void Evacuate(const std::string& domain);
-  void TakeBack(TimeUs now, const std::string& domain);
+  void EndEvacuation(TimeUs now, const std::string& domain);
   bool IsEvacuated(const std::string& domain) const {
     return evacuated_.contains(domain);
   }
@@ -157,7 +157,7 @@
   // Returns the replica that produced a result, by the result's handle, which
   // begins with the replica's address and a slash. Null when no replica with
   // that address is listed.
-  const ReplicaEntry* MakerOf(std::string_view handle) const;
+  const ReplicaEntry* ProducerOf(std::string_view handle) const;
   bool TakesWork(const ReplicaId& id) const;
   std::size_t size() const { return entries_.size(); }
   // Returns the age of the list; negative: the list has not been read yet.
@@ -180,11 +180,11 @@
     std::vector<Row*> rows;
     // Number of the service's rows that state their incarnation, and the rows
     // that do not.
-    std::size_t lives_told = 0;
+    std::size_t incarnations_told = 0;
     absl::flat_hash_set<Row*> without_incarnation;
   };
   struct EndedIncarnation {
-    Incarnation life = 0;
+    Incarnation incarnation = 0;
     bool left = false;  // Announced that it leaves, which is final.
     TimeUs at = 0;      // When the incarnation's entry was removed.
   };
@@ -224,7 +224,7 @@
   TimeUs next_ended_cleanup_at_ = 0;
   std::uint64_t added_ = 0;  // Incarnations listed so far.
   absl::node_hash_map<std::string, ServiceRows> services_;
-  // Usually one row per address; see `MakerOf`.
+  // Usually one row per address; see `ProducerOf`.
   absl::flat_hash_map<std::string, std::vector<Row*>> by_address_;
   TimeUs known_at_ = -1;
   bool store_lost_ = false;
--- a/src/state/serving_config.h
+++ b/src/state/serving_config.h
@@ -56,7 +56,7 @@
   // Time that clients wait for the first event of a stream. The platform
   // defines it as the longest of two seconds, four times the target and eight
   // pauses.
-  DurationUs FirstEventPatience() const {
+  DurationUs FirstEventTimeout() const {
     return std::max({2 * kSecond, 4 * target, 8 * pause});
   }
 
@@ -68,13 +68,13 @@
 
 // Limits of a service that computes the pieces of stages in batches.
 struct BatchLimits {
-  std::uint32_t slots = 1;       // Calls in progress at one replica.
-  std::uint32_t queue = 0;       // Calls that may wait at one replica.
-  std::uint32_t batch = 1;       // Maximum number of pieces per call.
-  DurationUs call = 0;           // Fixed part of a call's duration.
-  DurationUs piece = 0;          // Time that each piece adds to it.
-  std::uint64_t room_bytes = 0;  // Memory for results at one replica.
-  DurationUs result_life = 0;    // A replica deletes its results after this.
+  std::uint32_t slots = 1;                // Calls in progress at one replica.
+  std::uint32_t queue = 0;                // Calls that may wait at one replica.
+  std::uint32_t batch = 1;                // Maximum number of pieces per call.
+  DurationUs call = 0;                    // Fixed part of a call's duration.
+  DurationUs piece = 0;                   // Time that each piece adds to it.
+  std::uint64_t result_memory_bytes = 0;  // Memory for results at one replica.
+  DurationUs result_life = 0;  // A replica deletes its results after this.
 };
 
 // Limits of a model engine.
--- a/src/types.h
+++ b/src/types.h
@@ -144,11 +144,11 @@
 
 // State of a request that was in progress when an upstream crashed, in
 // increasing order of severity.
-enum class Standing { kClear, kSuspect, kConvicted };
-inline constexpr std::array<std::string_view, 3> kStandingNames = {
+enum class QuarantineState { kClear, kSuspect, kConvicted };
+inline constexpr std::array<std::string_view, 3> kQuarantineStateNames = {
     "clear", "suspect", "convicted"};
-constexpr std::string_view Name(Standing v) {
-  return detail::NameIn(kStandingNames, v);
+constexpr std::string_view Name(QuarantineState v) {
+  return detail::NameIn(kQuarantineStateNames, v);
 }
 
 // The reason why a request was refused or failed. `kRefusals` maps each to its
--- a/tests/decoder_mutation_test.cc
+++ b/tests/decoder_mutation_test.cc
@@ -62,10 +62,10 @@
   call.account = "office";
   call.body = R"({"a":1})";
   Heartbeat heartbeat;
-  for (const Message& message :
-       std::vector<Message>{call, heartbeat, StageChunk{}, StageFailure{},
-                            ControlOrder{}, TableQuestion{}, TableReply{},
-                            GatewayBeat{}, PieceOrders{}, SettingsBodies{}}) {
+  for (const Message& message : std::vector<Message>{
+           call, heartbeat, StageChunk{}, StageFailure{}, ControlOrder{},
+           TableRequest{}, TableReply{}, GatewayHeartbeat{}, PieceTasks{},
+           SettingsBodies{}}) {
     const std::string good = EncodeFrame({"entry-1", 1, 1, message}, kKey);
     ForEachMutation(good, [&](const std::string& frame) {
       EXPECT_TRUE(frame == good || !DecodeFrame(frame, kKey).ok());
--- a/tests/gateway/choices_test.cc
+++ b/tests/gateway/choices_test.cc
@@ -3,8 +3,8 @@
 
 #include "coordination/choice/engine_choice.h"
 #include "coordination/choice/plain_choice.h"
-#include "coordination/gateway/attempt_budget.h"
 #include "coordination/gateway/event_splitter.h"
+#include "coordination/gateway/service_retry_budget.h"
 #include "coordination/stages/stage_progress.h"
 
 namespace acaciachute {
@@ -24,7 +24,7 @@
   }
   void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
   ReplicaDirectory directory{this};
-  ColdLimit cold{"g1"};
+  ColdReplicaLimiter cold{"g1"};
   Random random{11};
 };
 
@@ -154,17 +154,17 @@
 // window, however many of them there are.
 TEST(AttemptBudgetTest, KeepsTheSumOverEntries) {
   constexpr int kEntries = 5;
-  const AttemptBudgetLimits limits = {0.2, 56, 10 * kSecond};
-  std::vector<AttemptBudget> budgets(kEntries);
+  const ServiceRetryBudgetLimits limits = {0.2, 56, 10 * kSecond};
+  std::vector<ServiceRetryBudget> budgets(kEntries);
   for (auto& it : budgets) {
     it.SetLimits(limits);
-    it.SetEntries(kEntries);
+    it.SetGatewayCount(kEntries);
   }
   int repeats = 0;
   int requests = 0;
   for (int n = 0; n < 1000; ++n) {
     const TimeUs now = n * 10 * kMillisecond;
-    AttemptBudget& it = budgets[static_cast<std::size_t>(n) % kEntries];
+    ServiceRetryBudget& it = budgets[static_cast<std::size_t>(n) % kEntries];
     it.OnRequest(now);
     ++requests;
     repeats += it.Take(now) ? 1 : 0;
--- a/tests/gateway/cold_limit_test.cc
+++ b/tests/gateway/cold_replica_limiter_test.cc
@@ -1,5 +1,5 @@
 // What cold replicas get, by one gateway and by many that see different things.
-#include "coordination/choice/cold_limit.h"
+#include "coordination/choice/cold_replica_limiter.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -35,9 +35,9 @@
   return entry;
 }
 
-std::unique_ptr<ColdLimit> LimitOf(const NodeId& node,
-                                   std::vector<NodeId> gateways) {
-  auto limit = std::make_unique<ColdLimit>(node);
+std::unique_ptr<ColdReplicaLimiter> LimitOf(const NodeId& node,
+                                            std::vector<NodeId> gateways) {
+  auto limit = std::make_unique<ColdReplicaLimiter>(node);
   limit->SetBound({}, 1200 * kMillisecond);
   limit->SetServices(ConfigWithColdEngines());
   limit->SetGateways(std::move(gateways));
@@ -53,7 +53,9 @@
   return names;
 }
 
-int SendAll(TimeUs now, ColdLimit* limit, const ReplicaEntry& replica) {
+int SendAll(TimeUs now,
+            ColdReplicaLimiter* limit,
+            const ReplicaEntry& replica) {
   int sent = 0;
   while (limit->Takes(now, replica) && sent < 1000) {
     limit->OnSent(replica);
@@ -65,7 +67,7 @@
 // Load: fleets of 1 to 400 gateways find one replica cold and idle and send it
 // all that they may at once. Together they stay within the bound and use a good
 // part of it.
-TEST(ColdLimitTest, FleetsOfAnySizeKeepTheBoundInSum) {
+TEST(ColdReplicaLimiterTest, FleetsOfAnySizeKeepTheBoundInSum) {
   const ReplicaEntry replica = ColdReplica(10 * kSecond);
   for (const int n : {1, 5, 14, 26, 29, 103, 400}) {
     int sum = 0;
@@ -79,7 +81,7 @@
 
 // A request that waited for its connection arrives later than it was sent. The
 // next one may leave a second after the first was answered, not after it left.
-TEST(ColdLimitTest, CountsByArrival) {
+TEST(ColdReplicaLimiterTest, CountsByArrival) {
   const ReplicaEntry replica = ColdReplica(60 * kSecond);
   const auto limit = LimitOf("g0", Names(26));
   TimeUs now = kSecond;
@@ -95,7 +97,7 @@
 }
 
 // Requests of the last second count when the replica turns cold within it.
-TEST(ColdLimitTest, CountsWhatCameWhileItWasWarm) {
+TEST(ColdReplicaLimiterTest, CountsWhatCameWhileItWasWarm) {
   ReplicaEntry replica = ColdReplica(0);
   const auto limit = LimitOf("g0", Names(26));
   EXPECT_EQ(SendAll(kSecond, limit.get(), replica), 1000);
@@ -104,7 +106,7 @@
 }
 
 // A gateway that does not know the others yet leaves cold replicas to them.
-TEST(ColdLimitTest, WhoKnowsNoGatewaysSendsNothing) {
+TEST(ColdReplicaLimiterTest, WhoKnowsNoGatewaysSendsNothing) {
   const auto limit = LimitOf("g0", {});
   EXPECT_FALSE(limit->Takes(kSecond, ColdReplica(9 * kSecond)));
   EXPECT_TRUE(limit->Takes(kSecond, ColdReplica(0)));
@@ -112,21 +114,22 @@
 
 // A failure domain is taken back. Its replicas are taken for cold although
 // their rows, older than that, say nothing; then the bound doubles by steps.
-TEST(ColdLimitTest, ADomainThatIsTakenBackWarmsUp) {
+TEST(ColdReplicaLimiterTest, ADomainWarmsUpAfterItsEvacuationEnded) {
   ReplicaEntry replica = ColdReplica(0);
-  replica.back_at = kSecond;
-  const TimeUs warm = replica.back_at + 3 * kSecond + 2400 * kMillisecond;
+  replica.evacuation_ended_at = kSecond;
+  const TimeUs warm =
+      replica.evacuation_ended_at + 3 * kSecond + 2400 * kMillisecond;
   const auto at = [&](TimeUs now) {
     return SendAll(now, LimitOf("g0", Names(14)).get(), replica);
   };
   EXPECT_EQ(at(kSecond), 2);
   EXPECT_EQ(at(warm - 1), 2);
   EXPECT_EQ(at(warm), 4);
-  EXPECT_EQ(at(warm + ColdLimit::kDouble), 8);
-  EXPECT_EQ(at(warm + ColdLimit::kWarmUp), 1000);
+  EXPECT_EQ(at(warm + ColdReplicaLimiter::kDouble), 8);
+  EXPECT_EQ(at(warm + ColdReplicaLimiter::kWarmUp), 1000);
 }
 
-TEST(ColdLimitTest, LeavesServicesWithoutABoundAlone) {
+TEST(ColdReplicaLimiterTest, LeavesServicesWithoutABoundAlone) {
   ReplicaEntry replica = ColdReplica(10 * kSecond);
   replica.service = "app";
   const auto limit = LimitOf("g0", Names(26));
@@ -136,7 +139,7 @@
 // Load: all engines are cold and more requests come than they take. The first
 // are sent, the others wait for their turn and are sent in order; one that gets
 // none in time is refused and told when to come back.
-TEST(ColdLimitTest, RequestsWaitForTheirTurn) {
+TEST(ColdReplicaLimiterTest, RequestsWaitForTheirTurn) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine", "a", rig.now + 60 * kSecond);
   // Two a second, half more and five: eight, six of them used.
@@ -163,7 +166,7 @@
 
 // The only engine warms up, and more requests come than it takes yet. They wait
 // for their turn, as while it was cold.
-TEST(ColdLimitTest, RequestsWaitWhileItWarmsUpToo) {
+TEST(ColdReplicaLimiterTest, RequestsWaitWhileItWarmsUpToo) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine", "a", rig.now);
   for (int n = 0; n < 20; ++n) {
@@ -171,7 +174,7 @@
   }
   EXPECT_EQ(rig.sent.size(), 12U);
   EXPECT_TRUE(rig.refused.empty());
-  rig.Pass(ColdLimit::kWarmUp);
+  rig.Pass(ColdReplicaLimiter::kWarmUp);
   EXPECT_EQ(rig.sent.size(), 20U);
 }
 
@@ -232,16 +235,16 @@
 
  private:
   struct Gateway {
-    std::unique_ptr<ColdLimit> limit;
+    std::unique_ptr<ColdReplicaLimiter> limit;
     std::set<NodeId> known;
     TimeUs settled_at = 0;
   };
   std::map<NodeId, Gateway> gateways_;
-  std::multimap<TimeUs, ColdLimit*> on_way_;
+  std::multimap<TimeUs, ColdReplicaLimiter*> on_way_;
   std::vector<TimeUs> arrivals_;
 };
 
-RC_GTEST_PROP(ColdLimitModelTest, NoSecondSeesMoreThanTheBound, ()) {
+RC_GTEST_PROP(ColdReplicaLimiterModelTest, NoSecondSeesMoreThanTheBound, ()) {
   // One drawn seed for all: a history of thousands of draws is not shrunk.
   Random random(*rc::gen::arbitrary<std::uint64_t>());
   ColdFleet fleet;
--- a/tests/gateway/evacuation_test.cc
+++ b/tests/gateway/evacuation_test.cc
@@ -23,8 +23,8 @@
       core.OnEvacuated();
     }
   }
-  void TakeBack(const std::string& domain, std::uint64_t version) {
-    evacuations.OnTakenBack(now, {domain, version});
+  void EndEvacuation(const std::string& domain, std::uint64_t version) {
+    evacuations.OnEvacuationEnded(now, {domain, version});
   }
   std::set<std::string> ReplicasUsed(const std::string& route, int calls) {
     const std::size_t before = sent.size();
@@ -64,7 +64,7 @@
   const auto answered = rig.answered.size();
   rig.AnswerWith(*begun, GatewayRig::Head(), "body");
   EXPECT_EQ(rig.answered.size(), answered + 1);
-  rig.TakeBack("a", 6);
+  rig.EndEvacuation("a", 6);
   EXPECT_EQ(rig.ReplicasUsed("plain", 40).size(), 2U);
 }
 
@@ -94,7 +94,7 @@
   rig.AddReplica("m1", "maker", "a");
   rig.AddReplica("m2", "maker", "b");
   const ExchangeId staged = rig.Call("staged", "k1", {1, 1});
-  ASSERT_EQ(rig.orders.size(), 1U);
+  ASSERT_EQ(rig.tasks.size(), 1U);
   const ExchangeId running = rig.Call("stream");
   ASSERT_EQ(rig.sent.size(), 1U);
   rig.Order("a", 5);
@@ -108,7 +108,7 @@
     EXPECT_EQ(Info(rig.refused[it].reason).http_status, 503);
     EXPECT_GT(rig.refused[it].retry_after, 0);
   }
-  EXPECT_EQ(rig.orders.size(), 1U);
+  EXPECT_EQ(rig.tasks.size(), 1U);
   rig.core.OnReplicaHead(rig.sent[0].call, GatewayRig::Head());
   rig.core.OnReplicaBody(rig.sent[0].call, "id: 1\ndata: x\n\n");
   rig.core.OnReplicaEnd(rig.sent[0].call);
@@ -124,7 +124,7 @@
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
   rig.AddReplica("r2", "app", "nowhere");
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
-  rig.TakeBack("nowhere", 5);
+  rig.EndEvacuation("nowhere", 5);
   EXPECT_EQ(rig.directory.Of("app").size(), 2U);
 }
 
@@ -136,9 +136,9 @@
   rig.Order("a", 5);
   rig.Order("a", 7);  // Ordered twice.
   EXPECT_TRUE(rig.directory.Of("app").empty());
-  rig.TakeBack("a", 6);
+  rig.EndEvacuation("a", 6);
   EXPECT_TRUE(rig.directory.Of("app").empty());
-  rig.TakeBack("a", 8);
+  rig.EndEvacuation("a", 8);
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
   rig.Order("a", 7);
   EXPECT_EQ(rig.directory.Of("app").size(), 1U);
@@ -193,12 +193,12 @@
   rig.directory.Remove(rig.now, "maker-0");
   rig.AddReplica("m1", "maker", "a");
   PieceOutput output;
-  AttemptBudget budget;
+  ServiceRetryBudget budget;
   PieceBatcher batcher(&rig.directory, &budget, &output);
   batcher.SetService("maker",
                      *GatewayRig::Config(1)->FindService("maker")->batching);
-  const auto order = [](const std::string& request) {
-    PieceOrder out;
+  const auto task = [](const std::string& request) {
+    PieceTask out;
     out.key = {request, 0, 0};
     out.service = "maker";
     out.near_domain = "a";
@@ -208,11 +208,11 @@
     return out;
   };
   TimeUs now = rig.now;
-  batcher.Add(now, order("first"));
+  batcher.Add(now, task("first"));
   batcher.Dispatch(now);
   ASSERT_EQ(output.calls.size(), 1U);
   rig.AddReplica("m2", "maker", "b");
-  batcher.Add(now, order("second"));
+  batcher.Add(now, task("second"));
   batcher.Dispatch(now);
   EXPECT_EQ(output.calls.size(), 1U);
   rig.Order("a", 5);
--- a/tests/gateway/freshness_test.cc
+++ b/tests/gateway/freshness_test.cc
@@ -280,7 +280,7 @@
   }
 }
 
-TEST(RemoteClockTest, TellsWhenAHeldQuestionWasAnswered) {
+TEST(RemoteClockTest, TellsWhenAHeldRequestWasAnswered) {
   RemoteClock clock;
   constexpr DurationUs kBehind = 70 * kSecond;
   const TimeUs first = 100 * kSecond;
--- a/tests/gateway/gateway_rig.h
+++ b/tests/gateway/gateway_rig.h
@@ -16,7 +16,7 @@
 
 namespace acaciachute {
 
-struct GatewayRig : GatewayPorts, PieceDesk, DirectoryWatcher {
+struct GatewayRig : GatewayOutput, PieceDispatcher, DirectoryWatcher {
   struct Sent {
     CallId call = 0;
     ReplicaId replica;
@@ -109,7 +109,7 @@
                   const std::string& key = "k1",
                   std::vector<std::uint32_t> pieces = {}) {
     const ExchangeId id = ++last_exchange;
-    ClientCall call;
+    ClientRequest call;
     call.id = "c" + std::to_string(id);
     call.method = "POST";
     call.host = "h.example";
@@ -148,13 +148,13 @@
     now += time;
     core.OnTick();
   }
-  void Made(const PieceOrder& order, const std::string& handle) {
-    core.OnPiece({order.key, PieceOutcome::kMade, handle});
+  void Made(const PieceTask& task, const std::string& handle) {
+    core.OnPiece({task.key, PieceOutcome::kMade, handle});
   }
 
   // GatewayPorts:
   TimeUs Now() override { return now; }
-  void Refuse(ExchangeId id, const OwnAnswer& answer) override {
+  void Refuse(ExchangeId id, const LocalReply& answer) override {
     refused[id] = answer;
   }
   void Answer(ExchangeId id,
@@ -171,24 +171,24 @@
   void EndStream(ExchangeId id) override { ended.push_back(id); }
   void Break(ExchangeId id) override { broken.push_back(id); }
   std::size_t Unsent(ExchangeId id) override { return unsent; }
-  CallId Send(const SendOrder& order) override {
-    sent.push_back({++last_call, order.replica, order.time_left, order.account,
-                    order.inputs, order.resume_after, order.may_repeat,
-                    order.most_idle_connections});
+  CallId Send(const AttemptRequest& attempt) override {
+    sent.push_back({++last_call, attempt.replica, attempt.time_left,
+                    attempt.account, attempt.inputs, attempt.resume_after,
+                    attempt.may_repeat, attempt.most_idle_connections});
     return last_call;
   }
   void Cancel(CallId id) override { cancelled.push_back(id); }
   void SetReading(CallId id, bool reading) override { paused[id] = !reading; }
 
   // PieceDesk:
-  void Submit(TimeUs, std::vector<PieceOrder> list) override {
-    orders.insert(orders.end(), list.begin(), list.end());
+  void Submit(TimeUs, std::vector<PieceTask> list) override {
+    tasks.insert(tasks.end(), list.begin(), list.end());
   }
   void Drop(const std::string& request) override { dropped.push_back(request); }
   void Free(const std::vector<std::string>& handles) override {
     freed.insert(freed.end(), handles.begin(), handles.end());
   }
-  PoolWait ExpectedWait(TimeUs, const std::string&) const override {
+  QueueWait ExpectedWait(TimeUs, const std::string&) const override {
     return wait;
   }
 
@@ -207,8 +207,8 @@
   ExchangeId last_exchange = 0;
   CallId last_call = 0;
   std::size_t unsent = 0;
-  PoolWait wait;
-  std::map<ExchangeId, OwnAnswer> refused;
+  QueueWait wait;
+  std::map<ExchangeId, LocalReply> refused;
   std::map<ExchangeId, std::pair<int, std::string>> answered;
   std::map<ExchangeId, std::string> streams;
   std::vector<ExchangeId> ended;
@@ -216,7 +216,7 @@
   std::vector<Sent> sent;
   std::vector<CallId> cancelled;
   std::map<CallId, bool> paused;
-  std::vector<PieceOrder> orders;
+  std::vector<PieceTask> tasks;
   std::vector<std::string> dropped;
   std::vector<std::string> freed;
 };
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -110,13 +110,13 @@
   struct Bare : GatewayRig {
     Gateway fresh{{}, this, this, &directory, &random, &metrics, &log};
   } rig;
-  ClientCall call;
+  ClientRequest call;
   call.id = "x";
   call.host = "h.example";
   call.target = "/none/";
   rig.fresh.OnCall(90, call);
   EXPECT_EQ(Info(rig.refused[90].reason).http_status, 503);
-  EXPECT_FALSE(rig.fresh.current());
+  EXPECT_FALSE(rig.fresh.can_check_keys());
 }
 
 TEST(GatewayTest, KnowsRoutesAndKeys) {
@@ -155,12 +155,12 @@
 TEST(GatewayTest, SendsClientsWhereKeysCanBeChecked) {
   GatewayRig rig;
   rig.Pass(10 * kSecond);
-  rig.core.SetAnotherIsCurrent(true);
+  rig.core.SetPeerCanCheckKeys(true);
   const ExchangeId cut = rig.Call("plain");
   EXPECT_EQ(rig.refused[cut].reason, Refusal::kNotCurrent);
   EXPECT_LE(rig.refused[cut].retry_after, 50 * kMillisecond);
   EXPECT_GT(rig.refused[cut].retry_after, 0);
-  rig.core.SetAnotherIsCurrent(false);
+  rig.core.SetPeerCanCheckKeys(false);
   const ExchangeId outage = rig.Call("plain");  // It gives ten seconds.
   EXPECT_GE(rig.refused[outage].retry_after, 10 * kSecond / 6);
   EXPECT_LE(rig.refused[outage].retry_after, 10 * kSecond / 3);
@@ -172,10 +172,10 @@
 TEST(GatewayTest, SharesTheConnectionsThatReplicasTake) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
-  rig.core.SetEntries(5);
+  rig.core.SetGatewayCount(5);
   rig.Call("plain");
   EXPECT_EQ(rig.sent.back().most_idle_connections, 7U);
-  rig.core.SetEntries(103);
+  rig.core.SetGatewayCount(103);
   rig.Call("plain");
   EXPECT_EQ(rig.sent.back().most_idle_connections, 0U);
 }
@@ -297,14 +297,14 @@
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
-  ASSERT_EQ(rig.orders.size(), 1U);
-  EXPECT_EQ(rig.orders[0].source, "source");
-  rig.Made(rig.orders[0], "10.0.0.9:80/a");
-  ASSERT_EQ(rig.orders.size(), 3U);
-  EXPECT_EQ(rig.orders[1].inputs, std::vector<std::string>{"10.0.0.9:80/a"});
+  ASSERT_EQ(rig.tasks.size(), 1U);
+  EXPECT_EQ(rig.tasks[0].source, "source");
+  rig.Made(rig.tasks[0], "10.0.0.9:80/a");
+  ASSERT_EQ(rig.tasks.size(), 3U);
+  EXPECT_EQ(rig.tasks[1].inputs, std::vector<std::string>{"10.0.0.9:80/a"});
   EXPECT_TRUE(rig.sent.empty());
-  rig.Made(rig.orders[1], "10.0.0.9:80/b");
-  rig.Made(rig.orders[2], "10.0.0.9:80/c");
+  rig.Made(rig.tasks[1], "10.0.0.9:80/b");
+  rig.Made(rig.tasks[2], "10.0.0.9:80/c");
   EXPECT_EQ(rig.freed, std::vector<std::string>{"10.0.0.9:80/a"});
   ASSERT_EQ(rig.sent.size(), 1U);
   EXPECT_EQ(rig.sent[0].inputs,
@@ -320,11 +320,11 @@
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.Call("staged", "k1", {1, 0});
-  rig.Made(rig.orders[0], "10.0.0.9:80/a");
+  rig.Made(rig.tasks[0], "10.0.0.9:80/a");
   ASSERT_EQ(rig.sent.size(), 1U);
   rig.AnswerWith(rig.sent[0].call, GatewayRig::NotRun(409));
-  ASSERT_EQ(rig.orders.size(), 2U);
-  rig.Made(rig.orders[1], "10.0.0.9:80/b");
+  ASSERT_EQ(rig.tasks.size(), 2U);
+  rig.Made(rig.tasks[1], "10.0.0.9:80/b");
   ASSERT_EQ(rig.sent.size(), 2U);
   EXPECT_EQ(rig.sent[1].inputs, std::vector<std::string>{"10.0.0.9:80/b"});
 }
@@ -337,10 +337,10 @@
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 0});
   rig.now += 3700 * kMillisecond;
-  rig.Made(rig.orders[0], "10.0.0.9:80/a");
+  rig.Made(rig.tasks[0], "10.0.0.9:80/a");
   ASSERT_EQ(rig.sent.size(), 1U);
   rig.AnswerWith(rig.sent[0].call, GatewayRig::NotRun(409));
-  EXPECT_EQ(rig.orders.size(), 1U);
+  EXPECT_EQ(rig.tasks.size(), 1U);
   ASSERT_TRUE(rig.refused.contains(id));
   EXPECT_EQ(rig.refused[id].verdict, Verdict::kNotRun);
 }
@@ -350,7 +350,7 @@
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
-  rig.Made(rig.orders[0], "10.0.0.9:80/a");
+  rig.Made(rig.tasks[0], "10.0.0.9:80/a");
   rig.core.OnGone(id);
   EXPECT_EQ(rig.dropped, std::vector<std::string>{"c1"});
   EXPECT_EQ(rig.freed, std::vector<std::string>{"10.0.0.9:80/a"});
@@ -365,7 +365,7 @@
   rig.wait.in_time.fill(3 * kSecond);
   rig.wait.late = 9 * kSecond;
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
-  EXPECT_TRUE(rig.orders.empty());
+  EXPECT_TRUE(rig.tasks.empty());
   EXPECT_EQ(rig.refused[id].verdict, Verdict::kNotRun);
   EXPECT_GT(rig.refused[id].retry_after, 0);
   EXPECT_LE(rig.refused[id].retry_after, 10 * kSecond / 3);
@@ -378,7 +378,7 @@
   rig.AddReplica("e1", "engine");
   rig.wait.late = 9 * kSecond;
   rig.Call("staged", "k1", {1, 0});
-  EXPECT_EQ(rig.orders.size(), 1U);
+  EXPECT_EQ(rig.tasks.size(), 1U);
 }
 
 // Load: a burst fills the stages' queues for a while. A request that cannot be
@@ -392,11 +392,11 @@
   rig.wait.late = 1600 * kMillisecond;
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
   rig.Pass(kSecond);
-  EXPECT_TRUE(rig.orders.empty());
+  EXPECT_TRUE(rig.tasks.empty());
   EXPECT_FALSE(rig.refused.contains(id));
   rig.wait = {};
   rig.Pass(200 * kMillisecond);
-  EXPECT_EQ(rig.orders.size(), 1U);
+  EXPECT_EQ(rig.tasks.size(), 1U);
 }
 
 // What the client hears when the burst lasts longer: that its request has not
@@ -412,7 +412,7 @@
   EXPECT_EQ(rig.refused[id].verdict, Verdict::kNotRun);
   rig.wait = {};
   rig.Pass(200 * kMillisecond);
-  EXPECT_TRUE(rig.orders.empty());
+  EXPECT_TRUE(rig.tasks.empty());
 }
 
 // A client that leaves takes its parked request with it.
@@ -424,7 +424,7 @@
   rig.core.OnGone(rig.Call("staged", "k1", {1, 2}));
   rig.wait = {};
   rig.Pass(200 * kMillisecond);
-  EXPECT_TRUE(rig.orders.empty());
+  EXPECT_TRUE(rig.tasks.empty());
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
 
@@ -470,13 +470,13 @@
 // A replica crashes behind a cut and starts again under its name. Its old
 // connections close for nobody. A request that may be repeated runs elsewhere
 // at once; the client of one that may not is told that it may have run.
-TEST(GatewayTest, EndsWhatALifeOfAReplicaHadWhenItStartsAgain) {
+TEST(GatewayTest, EndsWhatAnIncarnationHadWhenItsReplicaStartsAgain) {
   GatewayRig rig;
   rig.AddReplica({"r", 5}, "app");
   const ExchangeId once = rig.Call("plain");
   const ExchangeId repeated = rig.Call("repeat");
   ReplicaEntry again = *rig.directory.Find({"r", 5});
-  again.id.life = 6;
+  again.id.incarnation = 6;
   rig.directory.Put(again);
   EXPECT_EQ(rig.refused[once].verdict, Verdict::kMayHaveRun);
   ASSERT_EQ(rig.sent.size(), 3U);
--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -42,7 +42,7 @@
 
 // Beats get lost. Questions find out that their senders live: among the six
 // million beats of a minute there is no verdict.
-TEST(PeerFleetTest, LostBeatsAreNoLostGateways) {
+TEST(PeerFleetTest, LostHeartbeatsAreNoLostGateways) {
   Random random(7);
   PeerNet net(103, 18);
   net.SetLoses(LosesAThirtieth(&random));
@@ -87,20 +87,21 @@
 
 // Load: what a host with a tenth of a core receives. A fleet of 380 costs it no
 // more datagrams a second than one of 30.
-TEST(PeerFleetTest, BeatsAHostReceivesDoNotGrowWithTheFleet) {
+TEST(PeerFleetTest, HeartbeatsAHostReceivesDoNotGrowWithTheFleet) {
   // A second's mean, over a whole period of those that batch for nobody.
   const auto received = [](std::size_t n) {
     PeerNet net(n, n / 6);
     net.Run(kSecond);
     const auto period = static_cast<std::size_t>(
-        GatewayPeers::kBeat * static_cast<DurationUs>(n - 1) /
+        GatewayPeers::kGatewayHeartbeatPeriod * static_cast<DurationUs>(n - 1) /
         static_cast<DurationUs>(GatewayPeers::kPeersAtFullRate));
-    const std::size_t before = net.beats();
+    const std::size_t before = net.heartbeats();
     net.Run(static_cast<DurationUs>(period));
-    return (net.beats() - before) * kSecond / n / period;
+    return (net.heartbeats() - before) * kSecond / n / period;
   };
   constexpr std::size_t kBatchers = 3;
-  constexpr std::size_t kAtFullRate = kSecond / GatewayPeers::kBeat + 1;
+  constexpr std::size_t kAtFullRate =
+      kSecond / GatewayPeers::kGatewayHeartbeatPeriod + 1;
   const std::size_t most =
       kAtFullRate * (GatewayPeers::kPeersAtFullRate + kBatchers);
   EXPECT_LE(received(103), most);
