--- a/tests/gateway/peer_net.h
+++ b/tests/gateway/peer_net.h
@@ -68,7 +68,7 @@
     }
     return n;
   }
-  std::size_t beats() const { return beats_; }
+  std::size_t heartbeats() const { return heartbeats_; }
 
   static bool Batches(const Node& node) {
     for (const char* service : {"first", "second", "third"}) {
@@ -83,34 +83,34 @@
   struct Datagram {
     std::size_t from = 0;
     std::size_t to = 0;
-    GatewayBeat beat;
+    GatewayHeartbeat heartbeat;
   };
 
   std::size_t IndexOf(const NodeId& name) const {
     return std::stoul(name.substr(1));
   }
 
-  void Send(std::size_t from, const DueBeat& due, bool asks) {
+  void Send(std::size_t from, const DueHeartbeat& due, bool requests_reply) {
     const std::size_t to = IndexOf(due.node);
-    ++beats_;
+    ++heartbeats_;
     if (loses_ && loses_(from, to)) {
       return;
     }
-    GatewayBeat beat;
-    beat.cores = nodes_[from]->cores;
-    beat.period = due.promise;
-    beat.asks = asks;
-    wire_.push_back({from, to, beat});
+    GatewayHeartbeat heartbeat;
+    heartbeat.cores = nodes_[from]->cores;
+    heartbeat.period = due.promise;
+    heartbeat.requests_reply = requests_reply;
+    wire_.push_back({from, to, heartbeat});
   }
 
   void Tick(std::size_t n) {
     Node& node = *nodes_[n];
     node.lost += node.peers.TakeLost(now_).size();
     const DurationUs period = node.peers.Period(Batches(node));
-    for (const DueBeat& it : node.peers.DueBeats(now_, period)) {
+    for (const DueHeartbeat& it : node.peers.DueHeartbeats(now_, period)) {
       Send(n, it, false);
     }
-    for (const DueBeat& it : node.peers.DueQuestions(now_)) {
+    for (const DueHeartbeat& it : node.peers.DueProbes(now_)) {
       Send(n, it, true);
     }
   }
@@ -120,7 +120,8 @@
     wire_.clear();
     for (const Datagram& it : arrived) {
       if (nodes_[it.to]->alive) {
-        nodes_[it.to]->peers.OnBeat(now_, nodes_[it.from]->name, 1, it.beat);
+        nodes_[it.to]->peers.OnGatewayHeartbeat(now_, nodes_[it.from]->name, 1,
+                                                it.heartbeat);
       }
     }
   }
@@ -129,7 +130,7 @@
   std::deque<Datagram> wire_;
   LosesFn loses_;
   TimeUs now_ = 100 * kSecond;
-  std::size_t beats_ = 0;
+  std::size_t heartbeats_ = 0;
 };
 
 }  // namespace acaciachute
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -20,7 +20,7 @@
     limits.batch = 10;
     limits.call = 240 * kMs;
     limits.piece = 10 * kMs;
-    limits.room_bytes = 100;
+    limits.result_memory_bytes = 100;
     limits.result_life = 4 * kSecond;
     batcher.SetService("maker", limits);
   }
@@ -36,27 +36,27 @@
       directory.Put(entry);
     }
   }
-  static PieceOrder Order(const std::string& request,
-                          std::uint32_t piece,
-                          std::uint32_t priority = 1) {
-    PieceOrder order;
-    order.key = {request, 0, piece};
-    order.service = "maker";
-    order.time_left = 8 * kSecond;
-    order.time_to_begin = kSecond;
-    order.priority = priority;
-    order.result_bytes = 1;
-    return order;
+  static PieceTask Task(const std::string& request,
+                        std::uint32_t piece,
+                        std::uint32_t priority = 1) {
+    PieceTask task;
+    task.key = {request, 0, piece};
+    task.service = "maker";
+    task.time_left = 8 * kSecond;
+    task.time_to_begin = kSecond;
+    task.priority = priority;
+    task.result_bytes = 1;
+    return task;
   }
-  void Add(const PieceOrder& order) { batcher.Add(now, order); }
+  void Add(const PieceTask& task) { batcher.Add(now, task); }
   // Begins a piece whose input nothing else needs.
-  PieceOrder BeginSoleUser() {
-    PieceOrder order = Order("r", 0);
-    order.inputs = {"10.0.1.1:80/x"};
-    order.sole_users = 1;
-    Add(order);
+  PieceTask BeginSoleUser() {
+    PieceTask task = Task("r", 0);
+    task.inputs = {"10.0.1.1:80/x"};
+    task.sole_users = 1;
+    Add(task);
     batcher.Dispatch(now);
-    return order;
+    return task;
   }
   void Pass(DurationUs time) {
     now += time;
@@ -66,7 +66,7 @@
   void Make(const PieceCall& call) {
     PieceCallEnd end;
     end.kind = PieceCallEnd::Kind::kAnswered;
-    for (const PieceOrder& it : call.pieces) {
+    for (const PieceTask& it : call.pieces) {
       end.results.push_back({it.key, PieceOutcome::kMade,
                              call.address.ip + ":80/" + it.key.request + "." +
                                  std::to_string(it.key.piece)});
@@ -98,7 +98,7 @@
   TimeUs now = 1000 * kSecond;
   int last_replica = 0;
   ReplicaDirectory directory{this};
-  AttemptBudget budget;
+  ServiceRetryBudget budget;
   PieceBatcher batcher{&directory, &budget, this};
   std::vector<PieceCall> calls;
   std::vector<PieceResult> results;
@@ -112,7 +112,7 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 25; ++n) {
-    rig.Add(BatcherRig::Order("r" + std::to_string(n), 0));
+    rig.Add(BatcherRig::Task("r" + std::to_string(n), 0));
   }
   rig.Pass(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 1U);
@@ -129,7 +129,7 @@
   BatcherRig rig;
   rig.AddReplicas(2);
   for (int n = 0; n < 8; ++n) {
-    rig.Add(BatcherRig::Order("r" + std::to_string(n), 0));
+    rig.Add(BatcherRig::Task("r" + std::to_string(n), 0));
   }
   rig.Pass(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
@@ -142,10 +142,10 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 30; ++n) {
-    rig.Add(BatcherRig::Order("p" + std::to_string(n), 0, 2));
+    rig.Add(BatcherRig::Task("p" + std::to_string(n), 0, 2));
   }
   rig.Pass(10 * kMs);
-  rig.Add(BatcherRig::Order("urgent", 0, 0));
+  rig.Add(BatcherRig::Task("urgent", 0, 0));
   rig.Make(rig.calls[0]);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].pieces[0].key.request, "urgent");
@@ -157,12 +157,12 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 30; ++n) {
-    PieceOrder late = BatcherRig::Order("late" + std::to_string(n), 0, 0);
+    PieceTask late = BatcherRig::Task("late" + std::to_string(n), 0, 0);
     late.time_to_begin = -kMs;
     rig.Add(late);
   }
   rig.Pass(10 * kMs);
-  rig.Add(BatcherRig::Order("fresh", 0, 2));
+  rig.Add(BatcherRig::Task("fresh", 0, 2));
   rig.Make(rig.calls[0]);
   EXPECT_EQ(rig.calls[1].pieces[0].key.request, "fresh");
 }
@@ -173,10 +173,10 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   for (std::uint32_t n = 0; n < 12; ++n) {
-    rig.Add(BatcherRig::Order("big", n, 2));
+    rig.Add(BatcherRig::Task("big", n, 2));
   }
   rig.Pass(10 * kMs);
-  rig.Add(BatcherRig::Order("urgent", 0, 0));
+  rig.Add(BatcherRig::Task("urgent", 0, 0));
   rig.Make(rig.calls[0]);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].pieces[0].key.request, "big");
@@ -185,13 +185,13 @@
 
 // Load: results are not fetched for a while. No more is begun than the replica
 // has room for, and what waits is begun once results are freed.
-TEST(PieceBatcherTest, BeginsNoMoreThanThereIsRoomFor) {
+TEST(PieceBatcherTest, BeginsNoMoreThanThereIsMemoryFor) {
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 8; ++n) {
-    PieceOrder order = BatcherRig::Order("r" + std::to_string(n), 0);
-    order.result_bytes = 30;
-    rig.Add(order);
+    PieceTask task = BatcherRig::Task("r" + std::to_string(n), 0);
+    task.result_bytes = 30;
+    rig.Add(task);
   }
   rig.Pass(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 1U);
@@ -210,7 +210,7 @@
 TEST(PieceBatcherTest, MakesPiecesAgainAfterABrokenCall) {
   BatcherRig rig;
   rig.AddReplicas(2);
-  rig.Add(BatcherRig::Order("r", 0));
+  rig.Add(BatcherRig::Task("r", 0));
   rig.Pass(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 1U);
   rig.batcher.OnCallEnd(rig.now, rig.calls[0].id,
@@ -227,7 +227,7 @@
 TEST(PieceBatcherTest, DoesNotWaitForAStraggler) {
   BatcherRig rig;
   rig.AddReplicas(2);
-  rig.Add(BatcherRig::Order("r", 0));
+  rig.Add(BatcherRig::Task("r", 0));
   rig.Pass(10 * kMs);
   rig.Pass(700 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
@@ -243,7 +243,7 @@
 // for a replica that nobody has.
 TEST(PieceBatcherTest, GivesUpWhatIsOverItsTime) {
   BatcherRig rig;
-  rig.Add(BatcherRig::Order("r", 0));
+  rig.Add(BatcherRig::Task("r", 0));
   rig.Pass(9 * kSecond);
   ASSERT_EQ(rig.results.size(), 1U);
   EXPECT_EQ(rig.results[0].outcome, PieceOutcome::kLate);
@@ -252,7 +252,7 @@
 TEST(PieceBatcherTest, MakesNothingForARequestThatWasDropped) {
   BatcherRig rig;
   rig.AddReplicas(1);
-  rig.Add(BatcherRig::Order("gone", 0));
+  rig.Add(BatcherRig::Task("gone", 0));
   rig.batcher.Drop("gone");
   rig.Pass(10 * kMs);
   EXPECT_TRUE(rig.calls.empty());
@@ -264,13 +264,13 @@
   BatcherRig rig;
   rig.AddReplicas(1, "b");
   rig.AddReplicas(1, "a");
-  rig.Add(BatcherRig::Order("first", 0));
-  PieceOrder blocker = BatcherRig::Order("blocker", 0);
+  rig.Add(BatcherRig::Task("first", 0));
+  PieceTask blocker = BatcherRig::Task("blocker", 0);
   blocker.near_domain = "a";
   rig.Add(blocker);
   rig.Pass(10 * kMs);
   // Whoever holds the replica in "a", a second piece for "a" waits for it.
-  PieceOrder near = BatcherRig::Order("near", 0);
+  PieceTask near = BatcherRig::Task("near", 0);
   near.near_domain = "a";
   near.time_to_begin = 0;
   const std::size_t before = rig.calls.size();
@@ -288,10 +288,10 @@
 TEST(PieceBatcherTest, WaitsLongerForItsDomainWhereThereIsTime) {
   BatcherRig rig;
   rig.AddReplicas(1, "a");
-  rig.Add(BatcherRig::Order("first", 0));
+  rig.Add(BatcherRig::Task("first", 0));
   rig.batcher.Dispatch(rig.now);
   rig.AddReplicas(1, "b");
-  PieceOrder near = BatcherRig::Order("near", 0);
+  PieceTask near = BatcherRig::Task("near", 0);
   near.near_domain = "a";
   near.time_to_begin = 400 * kMs;
   rig.Add(near);
@@ -307,10 +307,10 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 60; ++n) {
-    rig.Add(BatcherRig::Order("r" + std::to_string(n), 0, 2));
+    rig.Add(BatcherRig::Task("r" + std::to_string(n), 0, 2));
   }
   rig.Pass(10 * kMs);
-  const PoolWait wait = rig.batcher.ExpectedWait(rig.now);
+  const QueueWait wait = rig.batcher.ExpectedWait(rig.now);
   EXPECT_LT(wait.Of(0), 400 * kMs);
   EXPECT_GT(wait.Of(2), kSecond);
   EXPECT_GE(wait.late, wait.Of(2));
@@ -324,7 +324,7 @@
   rig.AddReplicas(1);
   for (const char* request : {"r1", "r2", "r3"}) {
     for (std::uint32_t n = 0; n < 4; ++n) {
-      rig.Add(BatcherRig::Order(request, n));
+      rig.Add(BatcherRig::Task(request, n));
     }
   }
   rig.batcher.Dispatch(rig.now);
@@ -344,9 +344,9 @@
   const auto add = [&](const std::string& request, std::uint32_t pieces,
                        std::uint64_t bytes) {
     for (std::uint32_t n = 0; n < pieces; ++n) {
-      PieceOrder order = BatcherRig::Order(request, n);
-      order.result_bytes = bytes;
-      rig.Add(order);
+      PieceTask task = BatcherRig::Task(request, n);
+      task.result_bytes = bytes;
+      rig.Add(task);
     }
   };
   add("r1", 1, 80);  // Of 100 bytes.
@@ -366,15 +366,15 @@
        {PieceBatcher::kLookAhead - 1, PieceBatcher::kLookAhead}) {
     BatcherRig rig;
     rig.AddReplicas(1);
-    PieceOrder first = BatcherRig::Order("first", 0, 0);
+    PieceTask first = BatcherRig::Task("first", 0, 0);
     first.result_bytes = 90;
     rig.Add(first);
     for (std::size_t n = 0; n < large; ++n) {
-      PieceOrder order = BatcherRig::Order("large" + std::to_string(n), 0);
-      order.result_bytes = 20;
-      rig.Add(order);
+      PieceTask task = BatcherRig::Task("large" + std::to_string(n), 0);
+      task.result_bytes = 20;
+      rig.Add(task);
     }
-    PieceOrder small = BatcherRig::Order("small", 0, 2);
+    PieceTask small = BatcherRig::Task("small", 0, 2);
     small.result_bytes = 5;
     rig.Add(small);
     rig.batcher.Dispatch(rig.now);
@@ -389,7 +389,7 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   for (std::uint32_t n = 0; n < 12; ++n) {
-    rig.Add(BatcherRig::Order("r", n));
+    rig.Add(BatcherRig::Task("r", n));
   }
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 1U);
@@ -404,10 +404,10 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   for (std::uint32_t n = 0; n < 11; ++n) {  // One more than a call takes.
-    PieceOrder order = BatcherRig::Order("r", n);
-    order.inputs = {"10.0.1.1:80/x", "10.0.1.2:80/y"};
-    order.sole_users = 11;
-    rig.Add(order);
+    PieceTask task = BatcherRig::Task("r", n);
+    task.inputs = {"10.0.1.1:80/x", "10.0.1.2:80/y"};
+    task.sole_users = 11;
+    rig.Add(task);
   }
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 1U);
@@ -430,12 +430,12 @@
   BatcherRig rig;
   rig.short_of_memory = false;
   rig.AddReplicas(2);
-  const PieceOrder order = rig.BeginSoleUser();
+  const PieceTask task = rig.BeginSoleUser();
   rig.Pass(200 * kMs);
   EXPECT_TRUE(rig.read.empty());
   PieceCallEnd end;
   end.kind = PieceCallEnd::Kind::kAnswered;
-  end.results.push_back({order.key, PieceOutcome::kFailed, ""});
+  end.results.push_back({task.key, PieceOutcome::kFailed, ""});
   rig.batcher.OnCallEnd(rig.now, rig.calls[0].id, end);
   EXPECT_TRUE(rig.results.empty());
   ASSERT_EQ(rig.calls.size(), 2U);
@@ -448,9 +448,9 @@
 TEST(PieceBatcherTest, KeepsInputsThatAnotherStageNeeds) {
   BatcherRig rig;
   rig.AddReplicas(1);
-  PieceOrder order = BatcherRig::Order("r", 0);
-  order.inputs = {"10.0.1.1:80/x"};
-  rig.Add(order);
+  PieceTask task = BatcherRig::Task("r", 0);
+  task.inputs = {"10.0.1.1:80/x"};
+  rig.Add(task);
   rig.batcher.Dispatch(rig.now);
   rig.Pass(200 * kMs);
   EXPECT_TRUE(rig.read.empty());
@@ -463,7 +463,7 @@
 TEST(PieceBatcherTest, SaysAtOnceThatInputsAreGoneWhenTheirCallBreaks) {
   BatcherRig rig;
   rig.AddReplicas(2);
-  const PieceOrder order = rig.BeginSoleUser();
+  const PieceTask task = rig.BeginSoleUser();
   rig.Pass(150 * kMs);
   ASSERT_EQ(rig.read.size(), 1U);
   rig.Pass(kSecond);
@@ -484,11 +484,11 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   for (std::uint32_t n = 0; n < 2; ++n) {
-    PieceOrder order = BatcherRig::Order("r", n);
-    order.inputs = {"10.0.1.1:80/x"};
-    order.sole_users = 2;
-    order.result_bytes = 60;  // One fits a replica.
-    rig.Add(order);
+    PieceTask task = BatcherRig::Task("r", n);
+    task.inputs = {"10.0.1.1:80/x"};
+    task.sole_users = 2;
+    task.result_bytes = 60;  // One fits a replica.
+    rig.Add(task);
   }
   rig.batcher.Dispatch(rig.now);
   rig.Pass(50 * kMs);
@@ -515,15 +515,15 @@
 TEST(PieceBatcherTest, ACopyThatFindsItsInputsGoneEndsNothing) {
   BatcherRig rig;
   rig.AddReplicas(2);
-  PieceOrder order = BatcherRig::Order("r", 0);
-  order.inputs = {"10.0.1.1:80/x"};
-  rig.Add(order);
+  PieceTask task = BatcherRig::Task("r", 0);
+  task.inputs = {"10.0.1.1:80/x"};
+  rig.Add(task);
   rig.batcher.Dispatch(rig.now);
   rig.Pass(kSecond);
   ASSERT_EQ(rig.calls.size(), 2U);
   PieceCallEnd end;
   end.kind = PieceCallEnd::Kind::kAnswered;
-  end.results.push_back({order.key, PieceOutcome::kInputGone, ""});
+  end.results.push_back({task.key, PieceOutcome::kInputGone, ""});
   rig.batcher.OnCallEnd(rig.now, rig.calls[1].id, end);
   EXPECT_TRUE(rig.results.empty());
   rig.Make(rig.calls[0]);
@@ -538,7 +538,7 @@
   BatcherRig rig;
   rig.AddReplicas(2);
   for (int n = 0; n < 80; ++n) {
-    rig.Add(BatcherRig::Order("r" + std::to_string(n), 0));
+    rig.Add(BatcherRig::Task("r" + std::to_string(n), 0));
   }
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 2U);
@@ -565,13 +565,13 @@
 TEST(PieceBatcherTest, CountsTheResultsOfALostAnswer) {
   BatcherRig rig;
   rig.AddReplicas(1);
-  PieceOrder large = BatcherRig::Order("large", 0);
+  PieceTask large = BatcherRig::Task("large", 0);
   large.result_bytes = 60;
   rig.Add(large);
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 1U);
   rig.Pass(kSecond);  // Overdue.
-  rig.Add(BatcherRig::Order("small", 0));
+  rig.Add(BatcherRig::Task("small", 0));
   rig.Pass(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
   rig.Make(PieceCall(rig.calls[1]));
@@ -592,10 +592,10 @@
   entry.service = "maker";
   entry.address = {"10.0.0.1", 80};
   rig.directory.Put(entry);
-  rig.Add(BatcherRig::Order("r", 0));
+  rig.Add(BatcherRig::Task("r", 0));
   rig.batcher.Dispatch(rig.now);
   ASSERT_EQ(rig.calls.size(), 1U);
-  entry.id.life = 6;
+  entry.id.incarnation = 6;
   rig.directory.Put(entry);
   rig.Pass(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
--- a/tests/gateway/replica_directory_model_test.cc
+++ b/tests/gateway/replica_directory_model_test.cc
@@ -25,7 +25,7 @@
 struct Step {
   StepKind kind = StepKind::kRow;
   int replica = 0;
-  Incarnation life = 1;
+  Incarnation incarnation = 1;
   bool leaving = false;
 };
 
@@ -40,14 +40,14 @@
     auto& it = replicas_[step.replica];
     switch (step.kind) {
       case StepKind::kRow:
-        if (step.life < it.newest) {
+        if (step.incarnation < it.newest) {
           return;
         }
-        it.newest = step.life;
+        it.newest = step.incarnation;
         it.listed = true;
         it.unreadable = false;
         if (step.leaving) {
-          it.left.insert(step.life);
+          it.left.insert(step.incarnation);
         }
         return;
       case StepKind::kUnreadable:
@@ -85,7 +85,7 @@
                                                    {1, StepKind::kUnreadable},
                                                    {2, StepKind::kRemoved}});
   step.replica = *rc::gen::inRange(0, 3);
-  step.life = *rc::gen::inRange<Incarnation>(1, 5);
+  step.incarnation = *rc::gen::inRange<Incarnation>(1, 5);
   step.leaving = *rc::gen::weightedElement<bool>({{3, false}, {1, true}});
   return step;
 }
@@ -95,7 +95,7 @@
   ReplicaEntry entry;
   switch (step.kind) {
     case StepKind::kRow:
-      entry.id = {name, step.life};
+      entry.id = {name, step.incarnation};
       entry.service = "s";
       entry.address = {"10.0.0." + std::to_string(step.replica), 80};
       entry.leaving = step.leaving;
@@ -131,8 +131,8 @@
 // the incarnation, or with the service or address of another replica.
 ReplicaEntry DrawEntry() {
   ReplicaEntry entry;
-  const Incarnation life = *rc::gen::inRange<Incarnation>(0, 4);
-  entry.id = {NameOf(*rc::gen::inRange(0, 4)), life};
+  const Incarnation incarnation = *rc::gen::inRange<Incarnation>(0, 4);
+  entry.id = {NameOf(*rc::gen::inRange(0, 4)), incarnation};
   entry.service = *rc::gen::element<std::string>("s", "t");
   entry.address = {"10.0.0." + std::to_string(*rc::gen::inRange(0, 3)), 80};
   entry.leaving = *rc::gen::weightedElement<bool>({{4, false}, {1, true}});
@@ -207,7 +207,7 @@
                                 : expected_ids->second));
     }
     for (const std::string ip : {"10.0.0.0", "10.0.0.1", "10.0.0.2"}) {
-      const ReplicaEntry* producer = directory.MakerOf(ip + ":80/result");
+      const ReplicaEntry* producer = directory.ProducerOf(ip + ":80/result");
       const auto named = expected.named.find(ip);
       RC_ASSERT((producer == nullptr) == (named == expected.named.end()));
       if (producer == nullptr) {
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -83,12 +83,12 @@
   EXPECT_FALSE(rig.directory.TakesWork("r"));
 }
 
-TEST(ReplicaDirectoryTest, FindsTheMakerOfAResult) {
+TEST(ReplicaDirectoryTest, FindsTheProducerOfAResult) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("r"));
-  ASSERT_NE(rig.directory.MakerOf("10.0.0.1:80/x"), nullptr);
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id, "r");
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.2:80/x"), nullptr);
+  ASSERT_NE(rig.directory.ProducerOf("10.0.0.1:80/x"), nullptr);
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id, "r");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.2:80/x"), nullptr);
 }
 
 // A replica leaves and is started again under the same name. The new
@@ -107,7 +107,7 @@
 
 // A row of an ended incarnation that is read late has no effect, neither before
 // nor after the replica's entry was removed.
-TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierLife) {
+TEST(ReplicaDirectoryTest, PassesOverRowsOfAnEarlierIncarnation) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 6}));
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
@@ -122,7 +122,7 @@
 
 // A replica leaves, its entry is removed, and an earlier row of the same
 // incarnation is read again: that incarnation still gets no new work.
-TEST(ReplicaDirectoryTest, RemembersThatALifeLeftAfterItsEntryWent) {
+TEST(ReplicaDirectoryTest, RemembersThatAnIncarnationLeftAfterItsEntryWent) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
   rig.directory.Remove(0, "r");
@@ -164,7 +164,7 @@
   EXPECT_TRUE(rig.directory.TakesWork({"r", 5}));
 }
 
-TEST(ReplicaDirectoryTest, SaysThatACountFellWithinOneLife) {
+TEST(ReplicaDirectoryTest, SaysThatACountFellWithinOneIncarnation) {
   DirectoryRig rig;
   ReplicaEntry entry = DirectoryRig::Entry({"r", 5});
   entry.orders = 9;
@@ -172,7 +172,7 @@
   entry.orders = 3;
   rig.directory.Put(entry);
   EXPECT_EQ(rig.changes.back(), "r count_fell");
-  entry.id.life = 6;
+  entry.id.incarnation = 6;
   entry.orders = 0;
   rig.directory.Put(entry);
   EXPECT_EQ(rig.changes.back(), "r added");
@@ -180,15 +180,15 @@
 
 // The replica that produced a result is found by its address. An entry of
 // another writer with the same address does not replace it.
-TEST(ReplicaDirectoryTest, FindsTheMakerAmongEntriesOfOneAddress) {
+TEST(ReplicaDirectoryTest, FindsTheProducerAmongEntriesOfOneAddress) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("real"));
   ReplicaEntry foreign = DirectoryRig::Entry("a-foreign");
   foreign.service = "other";
   rig.directory.Put(foreign);
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id.name, "real");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id.name, "real");
   rig.directory.Put(DirectoryRig::Entry("real", true));
-  EXPECT_EQ(rig.directory.MakerOf("10.0.0.1:80/x")->id.name, "a-foreign");
+  EXPECT_EQ(rig.directory.ProducerOf("10.0.0.1:80/x")->id.name, "a-foreign");
 }
 
 }  // namespace
--- a/tests/gateway/shared_piece_desk_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -1,5 +1,5 @@
 // Gateways that batch for one another, and what happens when one is lost.
-#include "coordination/stages/shared_piece_desk.h"
+#include "coordination/stages/shared_piece_dispatcher.h"
 
 #include <gtest/gtest.h>
 
@@ -11,9 +11,11 @@
 namespace {
 
 // Some gateways with one directory, whose messages arrive when `Deliver` runs.
-struct DeskNet {
-  struct Node : SharedPieceDeskOutput, PieceBatcherOutput, DirectoryWatcher {
-    Node(DeskNet* owner, const NodeId& node_name)
+struct DispatcherNet {
+  struct Node : SharedPieceDispatcherOutput,
+                PieceBatcherOutput,
+                DirectoryWatcher {
+    Node(DispatcherNet* owner, const NodeId& node_name)
         : net(owner), name(node_name), peers({node_name, "", 1}, &log) {
       budget.SetLimits({0.2, 200, 10 * kSecond});
       ServingConfig config;
@@ -37,39 +39,40 @@
     }
     void StartCall(const PieceCall& call) override { calls.push_back(call); }
     void OnPiece(const PieceResult& result) override {
-      desk.OnLocalPiece(result);
+      dispatcher.OnLocalPiece(result);
     }
     bool ShortOfMemory(const std::vector<std::string>&) override {
       return true;
     }
     void OnInputsRead(const std::vector<std::string>& list) override {
-      desk.Free(list);
+      dispatcher.Free(list);
     }
     void FreeAt(const Address&, const std::vector<std::string>& list) override {
       freed.insert(freed.end(), list.begin(), list.end());
     }
     void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
     void Take(const NodeId& from, const Message& message, TimeUs now) {
-      if (const auto* it = std::get_if<PieceOrders>(&message)) {
-        desk.OnPeerOrders(now, from, *it);
-      } else if (const auto* drop = std::get_if<PieceDrop>(&message)) {
-        desk.OnPeerDrop(*drop);
-      } else if (const auto* free = std::get_if<PieceFree>(&message)) {
-        desk.OnPeerFree(*free);
+      if (const auto* it = std::get_if<PieceTasks>(&message)) {
+        dispatcher.OnPeerTasks(now, from, *it);
+      } else if (const auto* cancel = std::get_if<PieceCancel>(&message)) {
+        dispatcher.OnPeerCancel(*cancel);
+      } else if (const auto* release = std::get_if<PieceRelease>(&message)) {
+        dispatcher.OnPeerRelease(*release);
       } else if (const auto* list = std::get_if<PieceResults>(&message)) {
-        desk.OnPeerResults(*list);
+        dispatcher.OnPeerResults(*list);
       }
     }
 
-    DeskNet* const net;
+    DispatcherNet* const net;
     const NodeId name;
     QuietLog log;
-    AttemptBudget budget;
+    ServiceRetryBudget budget;
     ReplicaDirectory directory{this};
     GatewayPeers peers;
-    LocalPieceDesk local{&directory, this,
-                         [this](const std::string&) { return &budget; }};
-    SharedPieceDesk desk{name, &peers, &local, &directory, this, &log};
+    LocalPieceDispatcher local{&directory, this,
+                               [this](const std::string&) { return &budget; }};
+    SharedPieceDispatcher dispatcher{name,       &peers, &local,
+                                     &directory, this,   &log};
     std::vector<PieceCall> calls;
     std::vector<PieceResult> got;
     std::vector<std::string> freed;
@@ -80,7 +83,7 @@
     Message message;
   };
 
-  explicit DeskNet(int n) {
+  explicit DispatcherNet(int n) {
     for (int k = 0; k < n; ++k) {
       const NodeId name = "g" + std::to_string(k);
       nodes[name] = std::make_unique<Node>(this, name);
@@ -88,7 +91,7 @@
     for (auto& [name, node] : nodes) {
       for (auto& [other, unused] : nodes) {
         if (other != name) {
-          node->peers.OnBeat(now, other, 1, {});
+          node->peers.OnGatewayHeartbeat(now, other, 1, {});
         }
       }
     }
@@ -113,26 +116,26 @@
     now += time;
     for (auto& [name, node] : nodes) {
       node->local.OnTick(now);
-      node->desk.OnTick(now);
+      node->dispatcher.OnTick(now);
     }
     Deliver();
   }
   void Make(Node* node, std::size_t call) {
     PieceCallEnd end;
     end.kind = PieceCallEnd::Kind::kAnswered;
-    for (const PieceOrder& it : node->calls.at(call).pieces) {
+    for (const PieceTask& it : node->calls.at(call).pieces) {
       end.results.push_back({it.key, PieceOutcome::kMade,
                              "10.0.0.1:80/" + node->name + it.key.request});
     }
     node->local.OnCallEnd(now, "maker", node->calls.at(call).id, end);
   }
-  static PieceOrder Order(const std::string& request) {
-    PieceOrder order;
-    order.key = {request, 0, 0};
-    order.service = "maker";
-    order.time_left = 8 * kSecond;
-    order.time_to_begin = kSecond;
-    return order;
+  static PieceTask Task(const std::string& request) {
+    PieceTask task;
+    task.key = {request, 0, 0};
+    task.service = "maker";
+    task.time_left = 8 * kSecond;
+    task.time_to_begin = kSecond;
+    return task;
   }
 
   TimeUs now = 1000 * kSecond;
@@ -143,8 +146,8 @@
   NodeId other;
 };
 
-TEST(SharedPieceDeskTest, GatewaysAgreeOnWhoBatches) {
-  DeskNet net(5);
+TEST(SharedPieceDispatcherTest, GatewaysAgreeOnWhoBatches) {
+  DispatcherNet net(5);
   for (auto& [name, node] : net.nodes) {
     EXPECT_EQ(node->peers.OwnerOf("maker"), net.owner);
   }
@@ -152,12 +155,12 @@
 
 // Pieces of two gateways that wait for the one replica share its next call, and
 // each result comes back to the gateway that asked.
-TEST(SharedPieceDeskTest, BringsResultsToTheGatewayThatAsked) {
-  DeskNet net(3);
+TEST(SharedPieceDispatcherTest, BringsResultsToTheGatewayThatAsked) {
+  DispatcherNet net(3);
   auto& owner = net.At(net.owner);
-  owner.desk.Submit(net.now, {DeskNet::Order("first")});
-  net.At(net.other).desk.Submit(net.now, {DeskNet::Order("r")});
-  owner.desk.Submit(net.now, {DeskNet::Order("s")});
+  owner.dispatcher.Submit(net.now, {DispatcherNet::Task("first")});
+  net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
+  owner.dispatcher.Submit(net.now, {DispatcherNet::Task("s")});
   net.Deliver();
   ASSERT_EQ(owner.calls.size(), 1U);
   net.Make(&owner, 0);
@@ -173,14 +176,14 @@
 
 // Requests go on although the gateway that batches dies with their pieces: they
 // are handed to the next one at once.
-TEST(SharedPieceDeskTest, HandsPiecesOnWhenTheBatchingGatewayIsLost) {
-  DeskNet net(3);
-  net.At(net.other).desk.Submit(net.now, {DeskNet::Order("r")});
+TEST(SharedPieceDispatcherTest, HandsPiecesOnWhenTheBatchingGatewayIsLost) {
+  DispatcherNet net(3);
+  net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
   net.lost.insert(net.owner);
   auto& asker = net.At(net.other);
   asker.peers.OnUnreachable(net.now, net.owner);
-  asker.desk.OnPeerLost(net.now, net.owner);
+  asker.dispatcher.OnPeerLost(net.now, net.owner);
   const NodeId next = asker.peers.OwnerOf("maker");
   ASSERT_NE(next, net.owner);
   net.Pass(10 * kMillisecond);
@@ -193,31 +196,32 @@
 // A gateway that refuses connections is not tried in a loop: pieces go to a
 // live one, and the dead one counts again only after a beat that was sent
 // later.
-TEST(SharedPieceDeskTest, DoesNotTryAnUnreachableGatewayAgainAtOnce) {
-  DeskNet net(2);
+TEST(SharedPieceDispatcherTest, DoesNotTryAnUnreachableGatewayAgainAtOnce) {
+  DispatcherNet net(2);
   auto& asker = net.At(net.other);
   asker.peers.OnUnreachable(net.now, net.owner);
-  asker.peers.OnBeat(net.now + kMillisecond, net.owner, 1, {});
+  asker.peers.OnGatewayHeartbeat(net.now + kMillisecond, net.owner, 1, {});
   EXPECT_EQ(asker.peers.OwnerOf("maker"), net.other);
-  asker.peers.OnBeat(net.now + GatewayPeers::kUnreachable, net.owner, 1, {});
+  asker.peers.OnGatewayHeartbeat(net.now + GatewayPeers::kUnreachable,
+                                 net.owner, 1, {});
   EXPECT_EQ(asker.peers.OwnerOf("maker"), net.owner);
 }
 
 // A gateway that is paused with pieces in hand costs its peers' requests a wait
 // of `kPatience` at most; its late result is freed.
-TEST(SharedPieceDeskTest, DoesNotWaitForASilentGatewayForEver) {
-  DeskNet net(2);
+TEST(SharedPieceDispatcherTest, DoesNotWaitForASilentGatewayForEver) {
+  DispatcherNet net(2);
   auto& asker = net.At(net.other);
-  asker.desk.Submit(net.now, {DeskNet::Order("r")});
+  asker.dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  net.now += SharedPieceDesk::kPatience + kMillisecond;
+  net.now += SharedPieceDispatcher::kPatience + kMillisecond;
   asker.peers.TakeLost(net.now);
-  asker.desk.OnTick(net.now);
+  asker.dispatcher.OnTick(net.now);
   asker.local.OnTick(net.now);
   ASSERT_EQ(asker.calls.size(), 1U);
   net.Make(&asker, 0);
   EXPECT_EQ(asker.got.size(), 1U);
-  asker.desk.OnPeerResults(
+  asker.dispatcher.OnPeerResults(
       {{{{"r", 0, 0}, PieceOutcome::kMade, "10.0.0.1:80/late"}}});
   asker.local.OnTick(net.now);
   EXPECT_EQ(asker.got.size(), 1U);
@@ -227,53 +231,53 @@
 // Load: a burst, and a queue of three seconds at the gateway that batches, as
 // its beats tell. Pieces are not handed to it again while they wait their turn:
 // that would double the messages of those that have the most to do.
-TEST(SharedPieceDeskTest, WaitsAsLongAsTheQueueThatItWasTold) {
-  DeskNet net(2);
+TEST(SharedPieceDispatcherTest, WaitsAsLongAsTheQueueThatItWasTold) {
+  DispatcherNet net(2);
   auto& asker = net.At(net.other);
-  PoolWait wait;
+  QueueWait wait;
   wait.late = 3 * kSecond;
-  asker.desk.OnPeerWaits({{DeskNet::Order("r").service, wait}});
-  asker.desk.Submit(net.now, {DeskNet::Order("r")});
+  asker.dispatcher.OnPeerQueueWaits({{DispatcherNet::Task("r").service, wait}});
+  asker.dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
   asker.log.events.clear();
-  net.now += SharedPieceDesk::kPatience + kSecond;
-  asker.desk.OnTick(net.now);
+  net.now += SharedPieceDispatcher::kPatience + kSecond;
+  asker.dispatcher.OnTick(net.now);
   EXPECT_FALSE(asker.log.Saw("pieces_again"));
   net.now += 2 * kSecond + kMillisecond;
-  asker.desk.OnTick(net.now);
+  asker.dispatcher.OnTick(net.now);
   EXPECT_TRUE(asker.log.Saw("pieces_again"));
 }
 
-TEST(SharedPieceDeskTest, DropsWhatNobodyWaitsForAnyLonger) {
-  DeskNet net(2);
-  net.At(net.other).desk.Submit(net.now, {DeskNet::Order("r")});
+TEST(SharedPieceDispatcherTest, DropsWhatNobodyWaitsForAnyLonger) {
+  DispatcherNet net(2);
+  net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  net.At(net.other).desk.Drop("r");
+  net.At(net.other).dispatcher.Drop("r");
   net.Deliver();
-  EXPECT_TRUE(net.At(net.owner).desk.ServesNobody());
+  EXPECT_TRUE(net.At(net.owner).dispatcher.ServesNobody());
   EXPECT_TRUE(net.At(net.owner).local.Idle() ||
               net.At(net.owner).calls.size() == 1);
 }
 
 // Pieces of a gateway that died are not made for nobody.
-TEST(SharedPieceDeskTest, ForgetsTheRequestsOfALostGateway) {
-  DeskNet net(2);
+TEST(SharedPieceDispatcherTest, ForgetsTheRequestsOfALostGateway) {
+  DispatcherNet net(2);
   auto& owner = net.At(net.owner);
-  net.At(net.other).desk.Submit(net.now, {DeskNet::Order("r")});
+  net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  owner.desk.OnPeerLost(net.now, net.other);
-  EXPECT_TRUE(owner.desk.ServesNobody());
+  owner.dispatcher.OnPeerLost(net.now, net.other);
+  EXPECT_TRUE(owner.dispatcher.ServesNobody());
 }
 
 TEST(GatewayPeersTest, TakesASilentOrRestartedGatewayForLost) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
-  peers.OnBeat(now, "a", 1, {});
-  peers.OnBeat(now, "b", 1, {});
+  peers.OnGatewayHeartbeat(now, "a", 1, {});
+  peers.OnGatewayHeartbeat(now, "b", 1, {});
   EXPECT_EQ(peers.Live(), 3U);
   EXPECT_TRUE(peers.TakeLost(now + GatewayPeers::kSilent).empty());
-  peers.OnBeat(now + GatewayPeers::kSilent, "b", 2, {});
+  peers.OnGatewayHeartbeat(now + GatewayPeers::kSilent, "b", 2, {});
   EXPECT_EQ(peers.TakeLost(now + GatewayPeers::kSilent + 1),
             (std::vector<NodeId>{"a", "b"}));
   EXPECT_EQ(peers.Live(), 2U);
@@ -286,14 +290,14 @@
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
   peers.OnTick(now);
-  peers.OnBeat(now, "a", 1, {});
-  peers.OnBeat(now, "b", 1, {});
+  peers.OnGatewayHeartbeat(now, "a", 1, {});
+  peers.OnGatewayHeartbeat(now, "b", 1, {});
   now += 10 * kSecond;
   peers.OnTick(now);
   EXPECT_TRUE(peers.TakeLost(now).empty());
   EXPECT_TRUE(log.Saw("suspended"));
   // One of them died meanwhile.
-  peers.OnBeat(now + kSecond / 10, "a", 1, {});
+  peers.OnGatewayHeartbeat(now + kSecond / 10, "a", 1, {});
   std::vector<NodeId> lost;
   const TimeUs resumed = now;
   for (; lost.empty() && now < resumed + kSecond; now += 30 * kMillisecond) {
@@ -306,13 +310,13 @@
 
 // Guards against: a beat that is read before the first look counts for as much
 // longer as the suspension took.
-TEST(GatewayPeersTest, ABeatReadAfterASuspensionIsOfThatMoment) {
+TEST(GatewayPeersTest, AHeartbeatReadAfterASuspensionIsOfThatMoment) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
   peers.OnTick(now);
   now += 10 * kSecond;
-  peers.OnBeat(now, "a", 1, {});
+  peers.OnGatewayHeartbeat(now, "a", 1, {});
   peers.OnTick(now);
   now += GatewayPeers::kSilent + 1;
   EXPECT_EQ(peers.TakeLost(now), std::vector<NodeId>{"a"});
@@ -325,7 +329,7 @@
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
   peers.OnTick(now);
-  peers.OnBeat(now, "a", 1, {});
+  peers.OnGatewayHeartbeat(now, "a", 1, {});
   std::vector<NodeId> lost;
   for (int n = 0; n < 10 && lost.empty(); ++n) {
     now += 2 * GatewayPeers::kLongestTurn;
@@ -337,35 +341,37 @@
 
 // Load: 30 gateways that all tell all others. Those for whom nobody waits tell
 // less often, and are given as much longer before they are taken for lost.
-TEST(GatewayPeersTest, BeatsLessOftenAmongMany) {
+TEST(GatewayPeersTest, SendsHeartbeatsLessOftenAmongMany) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
   for (int n = 0; n < 6; ++n) {
-    peers.OnBeat(now, "p" + std::to_string(n), 1, {});
+    peers.OnGatewayHeartbeat(now, "p" + std::to_string(n), 1, {});
   }
-  EXPECT_EQ(peers.Period(false), GatewayPeers::kBeat);
+  EXPECT_EQ(peers.Period(false), GatewayPeers::kGatewayHeartbeatPeriod);
   for (int n = 6; n < 30; ++n) {
-    peers.OnBeat(now, "p" + std::to_string(n), 1, {});
+    peers.OnGatewayHeartbeat(now, "p" + std::to_string(n), 1, {});
   }
-  EXPECT_EQ(peers.Period(true), GatewayPeers::kBeat);
+  EXPECT_EQ(peers.Period(true), GatewayPeers::kGatewayHeartbeatPeriod);
   const DurationUs slow = peers.Period(false);
-  EXPECT_EQ(slow, 5 * GatewayPeers::kBeat);
-  EXPECT_EQ(peers.DueBeats(now, slow).size(), 30U);
-  EXPECT_TRUE(peers.DueBeats(now + slow - 1, slow).empty());
+  EXPECT_EQ(slow, 5 * GatewayPeers::kGatewayHeartbeatPeriod);
+  EXPECT_EQ(peers.DueHeartbeats(now, slow).size(), 30U);
+  EXPECT_TRUE(peers.DueHeartbeats(now + slow - 1, slow).empty());
   // One that begins to batch tells at its new rate at once.
-  EXPECT_EQ(
-      peers.DueBeats(now + GatewayPeers::kBeat, GatewayPeers::kBeat).size(),
-      30U);
+  EXPECT_EQ(peers
+                .DueHeartbeats(now + GatewayPeers::kGatewayHeartbeatPeriod,
+                               GatewayPeers::kGatewayHeartbeatPeriod)
+                .size(),
+            30U);
 }
 
-TEST(GatewayPeersTest, WaitsLongerForThoseThatBeatLessOften) {
+TEST(GatewayPeersTest, WaitsLongerForThoseWithALongerHeartbeatPeriod) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
-  GatewayBeat slow;
-  slow.period = 5 * GatewayPeers::kBeat;
-  peers.OnBeat(now, "slow", 1, slow);
+  GatewayHeartbeat slow;
+  slow.period = 5 * GatewayPeers::kGatewayHeartbeatPeriod;
+  peers.OnGatewayHeartbeat(now, "slow", 1, slow);
   EXPECT_TRUE(peers.TakeLost(now + 4 * GatewayPeers::kSilent).empty());
   EXPECT_EQ(peers.TakeLost(now + 6 * GatewayPeers::kSilent).size(), 1U);
 }
@@ -373,13 +379,13 @@
 TEST(GatewayPeersTest, KnowsWhetherAnotherMayCheckKeys) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
-  EXPECT_FALSE(peers.AnotherIsCurrent());
-  GatewayBeat beat;
-  beat.current = true;
-  peers.OnBeat(0, "a", 1, beat);
-  EXPECT_TRUE(peers.AnotherIsCurrent());
+  EXPECT_FALSE(peers.AnyPeerCanCheckKeys());
+  GatewayHeartbeat heartbeat;
+  heartbeat.can_check_keys = true;
+  peers.OnGatewayHeartbeat(0, "a", 1, heartbeat);
+  EXPECT_TRUE(peers.AnyPeerCanCheckKeys());
   peers.TakeLost(kSecond);
-  EXPECT_FALSE(peers.AnotherIsCurrent());
+  EXPECT_FALSE(peers.AnyPeerCanCheckKeys());
 }
 
 // Who batches is remembered between requests; a change of the gateways that
@@ -388,19 +394,19 @@
   QuietLog log;
   GatewayPeers peers({"self", "", 0.01}, &log);
   EXPECT_EQ(peers.OwnerOf("s"), "self");
-  GatewayBeat large;
+  GatewayHeartbeat large;
   large.cores = 100;
-  peers.OnBeat(0, "large", 1, large);
+  peers.OnGatewayHeartbeat(0, "large", 1, large);
   EXPECT_EQ(peers.OwnerOf("s"), "large");
   peers.OnUnreachable(kSecond, "large");
   EXPECT_EQ(peers.OwnerOf("s"), "self");
-  peers.OnBeat(2 * kSecond, "large", 1, large);
+  peers.OnGatewayHeartbeat(2 * kSecond, "large", 1, large);
   EXPECT_EQ(peers.OwnerOf("s"), "large");
   large.leaving = true;
-  peers.OnBeat(2 * kSecond, "large", 1, large);
+  peers.OnGatewayHeartbeat(2 * kSecond, "large", 1, large);
   EXPECT_EQ(peers.OwnerOf("s"), "self");
   large.leaving = false;
-  peers.OnBeat(2 * kSecond, "large", 1, large);
+  peers.OnGatewayHeartbeat(2 * kSecond, "large", 1, large);
   EXPECT_EQ(peers.OwnerOf("s"), "large");
   peers.TakeLost(10 * kSecond);
   EXPECT_EQ(peers.OwnerOf("s"), "self");
@@ -413,24 +419,24 @@
 TEST(GatewayPeersTest, LeavesBatchingToLargeHosts) {
   QuietLog log;
   GatewayPeers peers({"small-0", "", 0.09}, &log);
-  const auto beat = [&](const NodeId& node, double cores, bool leaving) {
-    GatewayBeat it;
+  const auto heartbeat = [&](const NodeId& node, double cores, bool leaving) {
+    GatewayHeartbeat it;
     it.cores = cores;
     it.leaving = leaving;
-    peers.OnBeat(1, node, 1, it);
+    peers.OnGatewayHeartbeat(1, node, 1, it);
   };
   for (int n = 1; n < 15; ++n) {
-    beat("small-" + std::to_string(n), 0.09, false);
+    heartbeat("small-" + std::to_string(n), 0.09, false);
   }
   for (int n = 0; n < 8; ++n) {
-    beat("large-" + std::to_string(n), 0.5, false);
+    heartbeat("large-" + std::to_string(n), 0.5, false);
   }
   for (int n = 0; n < 1000; ++n) {
     const NodeId& owner = peers.OwnerOf("service-" + std::to_string(n));
     EXPECT_EQ(owner.substr(0, 5), "large") << n;
   }
   for (int n = 0; n < 8; ++n) {
-    beat("large-" + std::to_string(n), 0.5, true);
+    heartbeat("large-" + std::to_string(n), 0.5, true);
   }
   EXPECT_EQ(peers.OwnerOf("service-1").substr(0, 5), "small");
 }
@@ -439,9 +445,9 @@
 TEST(GatewayPeersTest, GivesALeavingGatewayNoNewWork) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
-  GatewayBeat leaving;
+  GatewayHeartbeat leaving;
   leaving.leaving = true;
-  peers.OnBeat(0, "a", 1, leaving);
+  peers.OnGatewayHeartbeat(0, "a", 1, leaving);
   for (int n = 0; n < 50; ++n) {
     EXPECT_EQ(peers.OwnerOf("s" + std::to_string(n)), "self");
   }
--- a/tests/gateway/table_net.h
+++ b/tests/gateway/table_net.h
@@ -36,14 +36,14 @@
   static constexpr DurationUs kContact = 4 * kSecond;
   // The store's clock, against the gateways'.
   static constexpr DurationUs kStoreBehind = 77 * kSecond;
-  static constexpr DurationUs kBeatEvery = 100 * kMillisecond;
+  static constexpr DurationUs kHeartbeatPeriod = 100 * kMillisecond;
 
   // How the store meets a gateway.
   enum class Mood { kServes, kTurnsAway, kSilent };
 
   struct Call {
     std::size_t from = 0;
-    StoreQuestion question;
+    StoreRequest request;
     TimeUs asked_at = 0;
     bool unanswered = false;  // Until nobody would hear the answer.
   };
@@ -80,12 +80,12 @@
                                            &random, &log);
     }
 
-    void Ask(const StoreQuestion& question) override {
-      net->OnCall({index, question, net->now_, false});
+    void Ask(const StoreRequest& request) override {
+      net->OnCall({index, request, net->now_, false});
     }
     void Forget(const std::string&, std::uint64_t id) override {
       std::erase_if(net->calls_open_, [&](const Call& it) {
-        return it.from == index && it.question.id == id;
+        return it.from == index && it.request.id == id;
       });
     }
     void SendToPeer(const NodeId& peer, const Message& message) override {
@@ -292,7 +292,7 @@
 
   void OnCall(Call call) {
     ++calls_;
-    whole_reads_ += call.question.query.whole ? 1 : 0;
+    whole_reads_ += call.request.query.whole ? 1 : 0;
     call.unanswered = nodes_[call.from]->mood == Mood::kSilent;
     calls_open_.push_back(call);
   }
@@ -301,7 +301,7 @@
   }
 
   bool IsTooLate(const Call& call) const {
-    return now_ >= call.asked_at + call.question.heard_for;
+    return now_ >= call.asked_at + call.request.heard_for;
   }
 
   TableAnswer AnswerOf(const Call& call) const {
@@ -311,7 +311,7 @@
       answer.why = "the store does not answer";
       return answer;
     }
-    const TableQuery& query = call.question.query;
+    const TableQuery& query = call.request.query;
     if (!query.whole && query.after < history_from_) {
       answer.kind = TableAnswer::Kind::kHistoryGone;
       return answer;
@@ -328,7 +328,7 @@
   }
 
   bool IsDue(const Call& call) const {
-    const TableQuery& query = call.question.query;
+    const TableQuery& query = call.request.query;
     if (call.unanswered || IsTooLate(call)) {
       return IsTooLate(call);
     }
@@ -346,8 +346,7 @@
     std::erase_if(calls_open_,
                   [&](const Call& it) { return Runs(it.from) && IsDue(it); });
     for (const Call& it : due) {
-      nodes_[it.from]->source->OnStoreAnswer(now_, it.question.id,
-                                             AnswerOf(it));
+      nodes_[it.from]->source->OnStoreAnswer(now_, it.request.id, AnswerOf(it));
     }
   }
 
@@ -364,8 +363,8 @@
   }
   void Take(const Letter& it) {
     Node& to = *nodes_[it.to];
-    if (const auto* question = std::get_if<TableQuestion>(&it.message)) {
-      to.relay->OnQuestion(now_, nodes_[it.from]->name, *question);
+    if (const auto* request = std::get_if<TableRequest>(&it.message)) {
+      to.relay->OnTableRequest(now_, nodes_[it.from]->name, *request);
     } else if (const auto* reply = std::get_if<TableReply>(&it.message)) {
       whole_replies_ += reply->answer.rows.size() == rows_.size() ? 1 : 0;
       to.source->OnReply(now_, nodes_[it.from]->name, *reply);
@@ -383,16 +382,17 @@
             (cut_ && cut_(from->index, to->index))) {
           continue;
         }
-        GatewayBeat beat;
-        beat.cores = from->cores;
-        beat.domain = from->domain;
-        to->peers->OnBeat(now_, from->name, from->incarnation, beat);
+        GatewayHeartbeat heartbeat;
+        heartbeat.cores = from->cores;
+        heartbeat.domain = from->domain;
+        to->peers->OnGatewayHeartbeat(now_, from->name, from->incarnation,
+                                      heartbeat);
       }
     }
   }
 
   void Step() {
-    if (now_ % kBeatEvery == 0) {
+    if (now_ % kHeartbeatPeriod == 0) {
       Beat();
     }
     Deliver();
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -20,28 +20,28 @@
 struct SourceRig : StoreReader, TableRelayOutput {
   SourceRig() {
     for (const char* it : {"a", "b", "c"}) {
-      GatewayBeat beat;
-      beat.cores = 1;
-      beat.domain = *it == 'a' ? "own" : it;
-      peers.OnBeat(now, it, 1, beat);
+      GatewayHeartbeat heartbeat;
+      heartbeat.cores = 1;
+      heartbeat.domain = *it == 'a' ? "own" : it;
+      peers.OnGatewayHeartbeat(now, it, 1, heartbeat);
     }
   }
-  void Ask(const StoreQuestion& question_in) override {
+  void Ask(const StoreRequest& request_in) override {
     ++store_asked;
-    store_questions.push_back(question_in);
+    store_requests.push_back(request_in);
   }
   void Forget(const std::string&, std::uint64_t id) override {
     forgotten.push_back(id);
   }
   void StoreAnswers(const TableAnswer& answer) {
-    source.OnStoreAnswer(now, store_questions.back().id, answer);
+    source.OnStoreAnswer(now, store_requests.back().id, answer);
   }
   void SendToPeer(const NodeId& peer, const Message& message) override {
     asked.push_back(peer);
-    question = std::get<TableQuestion>(message);
+    request = std::get<TableRequest>(message);
   }
   void Reply(const TableAnswer& answer) {
-    source.OnReply(now, asked.back(), {"t", question.sequence, answer});
+    source.OnReply(now, asked.back(), {"t", request.sequence, answer});
   }
   static TableAnswer Rows(std::uint64_t version, DurationUs known_after) {
     TableAnswer answer;
@@ -72,9 +72,9 @@
   Metrics metrics;
   GatewayPeers peers{{"self", "own", 0.1}, &log};
   std::vector<NodeId> asked;
-  TableQuestion question;
+  TableRequest request;
   int store_asked = 0;
-  std::vector<StoreQuestion> store_questions;
+  std::vector<StoreRequest> store_requests;
   std::vector<std::uint64_t> forgotten;
   std::vector<TableAnswer> got;
   const FreshnessPlan plan = Plan();
@@ -98,7 +98,7 @@
 
 // The answer comes 500 ms after the question and speaks of a moment 1 s before
 // it arrived. The age counts from the question.
-TEST(TableSourceTest, CountsAgeFromItsQuestion) {
+TEST(TableSourceTest, CountsAgeFromItsRequest) {
   SourceRig rig;
   rig.source.ReadRows(rig.now, "t", "");
   rig.now += 500 * kMillisecond;
@@ -126,14 +126,14 @@
 }
 
 // An answer to an earlier question, or from one that was not asked.
-TEST(TableSourceTest, PassesOverAnswersToOtherQuestions) {
+TEST(TableSourceTest, PassesOverAnswersToOtherRequests) {
   SourceRig rig;
   rig.Learn(5);
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
   rig.source.OnReply(rig.now, "a",
-                     {"t", rig.question.sequence - 1, SourceRig::Rows(9, 0)});
+                     {"t", rig.request.sequence - 1, SourceRig::Rows(9, 0)});
   rig.source.OnReply(rig.now, "b",
-                     {"t", rig.question.sequence, SourceRig::Rows(9, 0)});
+                     {"t", rig.request.sequence, SourceRig::Rows(9, 0)});
   EXPECT_TRUE(rig.got.empty());
 }
 
@@ -259,9 +259,9 @@
   rig.Reply(gone);
   EXPECT_TRUE(rig.got.empty());
   ASSERT_EQ(rig.store_asked, 1);
-  EXPECT_FALSE(rig.store_questions.back().query.whole);
-  EXPECT_EQ(rig.store_questions.back().query.after, 5U);
-  EXPECT_EQ(rig.store_questions.back().query.wait, 0);
+  EXPECT_FALSE(rig.store_requests.back().query.whole);
+  EXPECT_EQ(rig.store_requests.back().query.after, 5U);
+  EXPECT_EQ(rig.store_requests.back().query.wait, 0);
   rig.StoreAnswers({});
   ASSERT_EQ(rig.got.size(), 1U);
   EXPECT_EQ(rig.got[0].kind, TableAnswer::Kind::kFailed);
@@ -272,21 +272,21 @@
 }
 
 // The failure of a question whose place a newer one took tells nothing.
-TEST(TableSourceTest, AReplacedQuestionThatFailsIsNoFailure) {
+TEST(TableSourceTest, AReplacedRequestThatFailsIsNoFailure) {
   SourceRig rig;
   rig.Learn(5);
   for (const char* it : {"a", "b", "c"}) {
-    GatewayBeat beat;
-    beat.leaving = true;
-    rig.peers.OnBeat(rig.now, it, 1, beat);
+    GatewayHeartbeat heartbeat;
+    heartbeat.leaving = true;
+    rig.peers.OnGatewayHeartbeat(rig.now, it, 1, heartbeat);
   }
   rig.source.ReadChanges(rig.now, "t", 5, 2 * kStale);
   ASSERT_EQ(rig.store_asked, 1);
   rig.now += kStale;
   rig.source.OnTick(rig.now);
   ASSERT_EQ(rig.store_asked, 2);
-  EXPECT_EQ(rig.store_questions.back().query.wait, 0);
-  rig.source.OnStoreAnswer(rig.now, rig.store_questions.front().id, {});
+  EXPECT_EQ(rig.store_requests.back().query.wait, 0);
+  rig.source.OnStoreAnswer(rig.now, rig.store_requests.front().id, {});
   EXPECT_TRUE(rig.got.empty());
   EXPECT_LT(rig.source.store_failed_at(), 0);
   rig.StoreAnswers(StoreRows(6));
--- a/tests/gateway/table_watch_test.cc
+++ b/tests/gateway/table_watch_test.cc
@@ -97,7 +97,7 @@
 
 // Being current counts from when the question was sent: its answer may have
 // waited anywhere, and a key may have been taken away meanwhile.
-TEST(TableWatchTest, IsCurrentAsOfItsQuestion) {
+TEST(TableWatchTest, IsCurrentAsOfItsRequest) {
   WatchRig rig;
   rig.Pass(0);
   const TimeUs asked_at = rig.now;
--- a/tests/platform/translation_test.cc
+++ b/tests/platform/translation_test.cc
@@ -242,20 +242,20 @@
 // or read another request's: what only the system may set is not passed on, nor
 // is the key.
 TEST(RequestsTest, PassesOnOnlyWhatIsTheClientsToSet) {
-  const auto call = ReadClientCall(Head(), "body");
+  const auto call = ReadClientRequest(Head(), "body");
   ASSERT_TRUE(call.ok());
   EXPECT_EQ(call->key, "secret");
   EXPECT_EQ(call->pieces, (std::vector<std::uint32_t>{2, 0, 4}));
   EXPECT_EQ(call->prompt_tokens, 1460U);
   EXPECT_EQ(call->prompt.size(), 2U);
-  SendOrder order;
-  order.call = &*call;
-  order.replica = "i-1";
-  order.account = "acme";
-  order.time_left = 1200 * kMillisecond;
-  order.inputs = {"h1", "h2"};
-  order.priority = 2;
-  const ChannelRequest request = WriteSendOrder(order);
+  AttemptRequest attempt;
+  attempt.call = &*call;
+  attempt.replica = "i-1";
+  attempt.account = "acme";
+  attempt.time_left = 1200 * kMillisecond;
+  attempt.inputs = {"h1", "h2"};
+  attempt.priority = 2;
+  const ChannelRequest request = WriteAttemptRequest(attempt);
   EXPECT_EQ(request.target, "/a%2fb//c");
   EXPECT_EQ(NamesOf(request.fields),
             (std::vector<std::string>{
@@ -271,13 +271,13 @@
 TEST(RequestsTest, RefusesMalformedFields) {
   HttpRequestHead head = Head();
   head.fields[2].value = "soon";
-  EXPECT_FALSE(ReadClientCall(head, "").ok());
+  EXPECT_FALSE(ReadClientRequest(head, "").ok());
   head = Head();
   head.fields[1].value = "";
-  EXPECT_FALSE(ReadClientCall(head, "").ok());
+  EXPECT_FALSE(ReadClientRequest(head, "").ok());
   head = Head();
   head.fields[19].value = "2,-1";
-  EXPECT_FALSE(ReadClientCall(head, "").ok());
+  EXPECT_FALSE(ReadClientRequest(head, "").ok());
 }
 
 TEST(RequestsTest, ReadsAReplicasWord) {
@@ -296,7 +296,7 @@
 }
 
 TEST(RequestsTest, TellsWhenToComeBackInFractionsOfASecond) {
-  const OwnReply reply = WriteOwnAnswer(
+  const HttpReply reply = WriteLocalReply(
       {Refusal::kFull, Verdict::kNotRun, 1250 * kMillisecond, "busy"});
   EXPECT_EQ(reply.status, 503);
   EXPECT_EQ(*FindField(reply.fields, "Retry-After"), "1.250");
--- a/tests/quarantine_http_test.cc
+++ b/tests/quarantine_http_test.cc
@@ -29,7 +29,7 @@
   EXPECT_TRUE(Contains(list.body, "models-1"));
   const std::string name = R"({"fingerprint":"0000000000000abc"})";
   EXPECT_EQ(Serve("POST", "/quarantine/lift", name, &quarantine).status, 200);
-  EXPECT_EQ(quarantine.Of(kSecond, 0xabc), Standing::kClear);
+  EXPECT_EQ(quarantine.Of(kSecond, 0xabc), QuarantineState::kClear);
   EXPECT_EQ(Serve("POST", "/quarantine/lift", name, &quarantine).status, 404);
 }
 
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -138,7 +138,7 @@
   driver.Run(kSecond);
   const auto records = driver.entry(1).quarantine().All(driver.now());
   ASSERT_EQ(records.size(), 1);
-  EXPECT_EQ(records[0].standing, Standing::kConvicted);
+  EXPECT_EQ(records[0].quarantine_state, QuarantineState::kConvicted);
   EXPECT_EQ(records[0].account, "office");
   driver.crashes = nullptr;
   ASSERT_TRUE(
@@ -183,7 +183,8 @@
   ASSERT_EQ(rig.failures.size(), 1);
   EXPECT_TRUE(rig.failures[0].crashed);
   ASSERT_EQ(rig.failures[0].quarantined.size(), 1);
-  EXPECT_EQ(rig.failures[0].quarantined[0].standing, Standing::kSuspect);
+  EXPECT_EQ(rig.failures[0].quarantined[0].quarantine_state,
+            QuarantineState::kSuspect);
 }
 
 // An entry that has not heard sends a convicted request. The sidecar is the
@@ -191,8 +192,12 @@
 TEST(QuarantineTest, SidecarRefusesWhatItsEntryHasNotHeardOf) {
   SidecarRig rig;
   Heartbeat heartbeat;
-  heartbeat.quarantined = {
-      {9, 2, Standing::kConvicted, 0, "office", {"orders-2", "orders-3"}}};
+  heartbeat.quarantined = {{9,
+                            2,
+                            QuarantineState::kConvicted,
+                            0,
+                            "office",
+                            {"orders-2", "orders-3"}}};
   rig.core.OnHeartbeat(rig.now, "entry-1", 6, heartbeat);
   StageCall call = rig.Call(1);
   call.fingerprint = 9;
@@ -234,8 +239,9 @@
   rig.Deliver(convict);
   rig.Deliver(suspect);
   Heartbeat heartbeat;
-  heartbeat.quarantined = {{9, 0, Standing::kConvicted, 0, "office", {"x"}},
-                           {10, 0, Standing::kSuspect, 0, "office", {"x"}}};
+  heartbeat.quarantined = {
+      {9, 0, QuarantineState::kConvicted, 0, "office", {"x"}},
+      {10, 0, QuarantineState::kSuspect, 0, "office", {"x"}}};
   rig.core.OnHeartbeat(rig.now, "entry-1", 6, heartbeat);
   rig.Deliver(rig.Call(4));
   rig.Answer(0);
@@ -264,29 +270,30 @@
 
 TEST(QuarantineTest, OrderOfNewsDoesNotMatter) {
   const std::vector<QuarantineRecord> news = {
-      {9, 0, Standing::kSuspect, 0, "a", {"x"}},
-      {9, 0, Standing::kConvicted, 0, "a", {"x", "y"}},
-      {9, 1, Standing::kClear, 0, "a", {}}};
+      {9, 0, QuarantineState::kSuspect, 0, "a", {"x"}},
+      {9, 0, QuarantineState::kConvicted, 0, "a", {"x", "y"}},
+      {9, 1, QuarantineState::kClear, 0, "a", {}}};
   Quarantine forward;
   Quarantine backward;
   for (std::size_t n = 0; n < news.size(); ++n) {
     forward.Merge(kSecond, {news[n]});
     backward.Merge(kSecond, {news[news.size() - 1 - n]});
   }
-  EXPECT_EQ(forward.Of(kSecond, 9), Standing::kClear);
-  EXPECT_EQ(backward.Of(kSecond, 9), Standing::kClear);
+  EXPECT_EQ(forward.Of(kSecond, 9), QuarantineState::kClear);
+  EXPECT_EQ(backward.Of(kSecond, 9), QuarantineState::kClear);
 }
 
 // A pool that crashes all day must not fill the memory, and what is forgotten
 // first is what matters least.
 TEST(QuarantineTest, MemoryIsBounded) {
   Quarantine quarantine;
-  quarantine.Merge(kSecond, {{1, 1, Standing::kConvicted, 0, "a", {"x"}}});
+  quarantine.Merge(kSecond,
+                   {{1, 1, QuarantineState::kConvicted, 0, "a", {"x"}}});
   for (std::uint64_t n = 2; n < 3 * Quarantine::kMost; ++n) {
     quarantine.OnCrash(2 * kSecond, "x", {{n, "a"}, {n + 1, "a"}});
   }
   EXPECT_EQ(quarantine.size(), Quarantine::kMost);
-  EXPECT_EQ(quarantine.Of(2 * kSecond, 1), Standing::kConvicted);
+  EXPECT_EQ(quarantine.Of(2 * kSecond, 1), QuarantineState::kConvicted);
   EXPECT_EQ(quarantine.Told(2 * kSecond).size(), Quarantine::kTold);
 }
 
--- a/tests/currency_test.cc
+++ b/tests/settings_freshness_test.cc
@@ -1,5 +1,5 @@
 // What callers receive from an entry that cannot show that it is current.
-#include "coordination/settings/currency.h"
+#include "coordination/settings/settings_freshness.h"
 
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 namespace acaciachute {
 namespace {
 
-class FixedCurrency : public Currency {
+class FixedSettingsFreshness : public SettingsFreshness {
  public:
   bool IsCurrent(TimeUs now) const override { return now >= current_from; }
   TimeUs current_from = 0;
@@ -35,16 +35,16 @@
 // The entry is not current when a request arrives. The caller is told at once
 // that it was not run and when to come back; no claim is written, because the
 // account or the event may have changed. Once current, the entry takes it.
-TEST(CurrencyTest, RequestIsRefusedUntilTheEntryIsCurrent) {
-  FixedCurrency currency;
-  currency.current_from = 10 * kSecond;
+TEST(SettingsFreshnessTest, RequestIsRefusedUntilTheEntryIsCurrent) {
+  FixedSettingsFreshness settings_freshness;
+  settings_freshness.current_from = 10 * kSecond;
   RecordingOutput output;
   Random random(1);
   Metrics metrics;
   EntryOptions options;
   options.node = "entry-1";
   options.incarnation = 1;
-  options.currency = &currency;
+  options.settings_freshness = &settings_freshness;
   Entry entry(options, &output, &random, &metrics);
   auto branch = ParseBranch("b", 1, R"({"owner":"o",
       "pools":{"p":{"kind":"service"}},
--- a/tests/sidecar_rig.h
+++ b/tests/sidecar_rig.h
@@ -59,8 +59,12 @@
   StageCall Suspect(std::uint64_t request) const {
     StageCall call = Call(request);
     call.fingerprint = 1000 + request;
-    call.quarantined = {
-        {call.fingerprint, 1, Standing::kSuspect, 0, "office", {"orders-9"}}};
+    call.quarantined = {{call.fingerprint,
+                         1,
+                         QuarantineState::kSuspect,
+                         0,
+                         "office",
+                         {"orders-9"}}};
     return call;
   }
   void Deliver(const Message& message) {
