--- a/src/coordination/gateway/service_retry_budget.h
+++ b/src/coordination/gateway/service_retry_budget.h
@@ -1,10 +1,10 @@
 // Bounds how often one service is sent a request again, over a sliding window
-// and over all entries together.
+// and over all gateways together.
 //
-// Load pattern: replicas of a service refuse or lose calls, and every entry
-// sends each request again at once. Without a bound that all entries keep in
+// Load pattern: replicas of a service refuse or lose calls, and every gateway
+// sends each request again at once. Without a bound that all gateways keep in
 // sum, the repeats are a second load on a service that fails under the first.
-// Each entry spends an equal part of the fixed allowance and its share of the
+// Each gateway spends an equal part of the fixed allowance and its share of the
 // requests that it sent itself, so that the sum holds without messages. Half of
 // both is left unspent: an entry that restarts forgets what it has spent, and
 // the number of entries is a belief.
