--- a/src/coordination/gateway/service_retry_budget.h
+++ b/src/coordination/gateway/service_retry_budget.h
@@ -6,8 +6,8 @@
 // sum, the repeats are a second load on a service that fails under the first.
 // Each gateway spends an equal part of the fixed allowance and its share of the
 // requests that it sent itself, so that the sum holds without messages. Half of
-// both is left unspent: an entry that restarts forgets what it has spent, and
-// the number of entries is a belief.
+// both is left unspent: a gateway that restarts forgets what it has spent, and
+// the number of gateways is an estimate.
 #ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_SERVICE_RETRY_BUDGET_H_
 #define ACACIACHUTE_SRC_COORDINATION_GATEWAY_SERVICE_RETRY_BUDGET_H_
 
@@ -24,7 +24,7 @@
   static constexpr double kSpend = 0.5;
 
   void SetLimits(const ServiceRetryBudgetLimits& limits) { limits_ = limits; }
-  // Entries that are believed to share the allowance, this one included.
+  // Gateways that are believed to share the allowance, this one included.
   void SetGatewayCount(std::size_t n) {
     gateway_count_ = std::max<std::size_t>(1, n);
   }
--- a/src/coordination/membership/gateway_peers.cc
+++ b/src/coordination/membership/gateway_peers.cc
@@ -37,7 +37,7 @@
     peer.restarted = true;
   }
   if (heartbeat.requests_reply || peer.incarnation != incarnation) {
-    peer.promised = 0;  // It waits for this one's beat, or never had one.
+    peer.promised = 0;  // It waits for this one's heartbeat, or never had one.
   }
   peer.incarnation = incarnation;
   peer.heard_at = now;
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -37,13 +37,13 @@
 
 class GatewayPeers {
  public:
-  // A beat is under 1 KB; at five gateways that is 20 KB/s a host.
+  // A heartbeat is under 1 KB; at five gateways that is 20 KB/s a host.
   static constexpr DurationUs kGatewayHeartbeatPeriod = 150 * kMillisecond;
   // Load pattern: each gateway tells all others, so what a host receives grows
-  // with their number; at 29 a tenth of a core went on beats. Up to this many
-  // peers all beat every `kGatewayHeartbeatPeriod`. With more, only those that
-  // batch for others do and the rest in proportion less often: nobody waits for
-  // these.
+  // with their number; at 29 a tenth of a core went on heartbeats. Up to this
+  // many peers all send one every `kGatewayHeartbeatPeriod`. With more, only
+  // those that batch for others do and the rest in proportion less often:
+  // nobody waits for these.
   static constexpr std::size_t kPeersAtFullRate = 6;
   // Four heartbeats: with a thirtieth of the datagrams lost, a live gateway is
   // taken for dead once in a million heartbeats. Longer for those that send
@@ -102,11 +102,12 @@
   // Those that a heartbeat is due to now. A period that grows is told in a
   // heartbeat that comes as early as the one before promised.
   //
-  // Failure: a gateway beats less often without having said so, or hears its
-  // peers less often because they hold it for silent. Symptom: among many live
-  // gateways, hosts with nothing to batch take those that batch for silent
-  // again and again and hand themselves their pieces, and so on in a circle.
-  // Each promise is to one gateway and is kept, so silence means a loss.
+  // Failure: a gateway sends heartbeats less often without having said so, or
+  // hears its peers less often because they hold it for silent. Symptom: among
+  // many live gateways, hosts with nothing to batch take those that batch for
+  // silent again and again and hand themselves their pieces, and so on in a
+  // circle. Each promise is to one gateway and is kept, so silence means a
+  // loss.
   std::vector<DueHeartbeat> DueHeartbeats(TimeUs now, DurationUs period);
   // Those that must tell at once whether they live.
   std::vector<DueHeartbeat> DueProbes(TimeUs now);
--- a/src/coordination/settings/settings_sync.cc
+++ b/src/coordination/settings/settings_sync.cc
@@ -11,7 +11,7 @@
 namespace acaciachute {
 namespace {
 
-// A question outlives the currency bound never: its answer would prove nothing.
+// A question never outlives `kMaxSettingsAge`: its answer would prove nothing.
 constexpr DurationUs kQuestionLife = SettingsSync::kMaxSettingsAge;
 
 std::uint64_t HashOf(std::string_view text, std::uint64_t seed) {
--- a/src/coordination/stages/shared_piece_dispatcher.cc
+++ b/src/coordination/stages/shared_piece_dispatcher.cc
@@ -30,7 +30,7 @@
   HandOver(now, std::move(tasks));
 }
 
-// All orders are of one request and for one service.
+// All tasks are of one request and for one service.
 void SharedPieceDispatcher::HandOver(TimeUs now, std::vector<PieceTask> tasks) {
   const NodeId owner = peers_->OwnerOf(tasks.front().service);
   for (const PieceTask& it : tasks) {
@@ -83,8 +83,8 @@
   }
 }
 
-// The gateway that batches the maker's service keeps the account of the maker's
-// memory.
+// The gateway that batches the producer's service keeps the account of the
+// producer's memory.
 void SharedPieceDispatcher::Free(const std::vector<std::string>& handles) {
   std::map<std::string, std::vector<std::string>> by_service;
   for (const auto& handle : handles) {
--- a/tests/gateway/cold_replica_limiter_test.cc
+++ b/tests/gateway/cold_replica_limiter_test.cc
@@ -112,8 +112,9 @@
   EXPECT_TRUE(limit->Takes(kSecond, ColdReplica(0)));
 }
 
-// A failure domain is taken back. Its replicas are taken for cold although
-// their rows, older than that, say nothing; then the bound doubles by steps.
+// The evacuation of a failure domain ends. Its replicas are taken for cold
+// although their rows, older than that, say nothing; then the bound doubles by
+// steps.
 TEST(ColdReplicaLimiterTest, ADomainWarmsUpAfterItsEvacuationEnded) {
   ReplicaEntry replica = ColdReplica(0);
   replica.evacuation_ended_at = kSecond;
--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -41,8 +41,8 @@
   }
 }
 
-// Beats get lost. Questions find out that their senders live: among the six
-// million beats of a minute there is no verdict.
+// Heartbeats get lost. Probes find out that their senders live: among the six
+// million heartbeats of a minute there is no verdict.
 TEST(PeerFleetTest, LostHeartbeatsAreNoLostGateways) {
   Random random(7);
   PeerNet net(103, 18);
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -184,7 +184,7 @@
 }
 
 // Load: results are not fetched for a while. No more is begun than the replica
-// has room for, and what waits is begun once results are freed.
+// has memory for, and what waits is begun once results are freed.
 TEST(PieceBatcherTest, BeginsNoMoreThanThereIsMemoryFor) {
   BatcherRig rig;
   rig.AddReplicas(1);
--- a/tests/gateway/shared_piece_dispatcher_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -229,8 +229,8 @@
 }
 
 // Load: a burst, and a queue of three seconds at the gateway that batches, as
-// its beats tell. Pieces are not handed to it again while they wait their turn:
-// that would double the messages of those that have the most to do.
+// its heartbeats tell. Pieces are not handed to it again while they wait their
+// turn: that would double the messages of those that have the most to do.
 TEST(SharedPieceDispatcherTest, WaitsAsLongAsTheQueueThatItWasTold) {
   DispatcherNet net(2);
   auto& asker = net.At(net.other);
@@ -308,8 +308,8 @@
   EXPECT_LE(now - resumed, GatewayPeers::kSilent);
 }
 
-// Guards against: a beat that is read before the first look counts for as much
-// longer as the suspension took.
+// Guards against: a heartbeat that is read before the first look counts for as
+// much longer as the suspension took.
 TEST(GatewayPeersTest, AHeartbeatReadAfterASuspensionIsOfThatMoment) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
--- a/tests/gateway/store_requests_test.cc
+++ b/tests/gateway/store_requests_test.cc
@@ -1,4 +1,4 @@
-// Questions to the store that are in progress at once.
+// Requests to the store that are in progress at once.
 #include "coordination/tables/store_requests.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   StoreRequests requests{"t", this};
 };
 
-// A slow store answers the oldest first, and a question that was lost with its
+// A slow store answers the oldest first, and a request that was lost with its
 // connection must not keep the newest from being asked.
 TEST(StoreRequestsTest, KeepsTheOldestAndTheNewest) {
   StoreRig rig;
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -96,8 +96,8 @@
   EXPECT_EQ(rig.store_asked, 0);
 }
 
-// The answer comes 500 ms after the question and speaks of a moment 1 s before
-// it arrived. The age counts from the question.
+// The answer comes 500 ms after the request and speaks of a moment 1 s before
+// it arrived. The age counts from the request.
 TEST(TableSourceTest, CountsAgeFromItsRequest) {
   SourceRig rig;
   rig.source.ReadRows(rig.now, "t", "");
@@ -125,7 +125,7 @@
   EXPECT_EQ(rig.got[0].rows.size(), 1U);
 }
 
-// An answer to an earlier question, or from one that was not asked.
+// An answer to an earlier request, or from one that was not asked.
 TEST(TableSourceTest, PassesOverAnswersToOtherRequests) {
   SourceRig rig;
   rig.Learn(5);
@@ -271,7 +271,7 @@
   EXPECT_EQ(rig.got[1].kind, TableAnswer::Kind::kHistoryGone);
 }
 
-// The failure of a question whose place a newer one took tells nothing.
+// The failure of a request whose place a newer one took tells nothing.
 TEST(TableSourceTest, AReplacedRequestThatFailsIsNoFailure) {
   SourceRig rig;
   rig.Learn(5);
