--- a/src/messages.h
+++ b/src/messages.h
@@ -195,8 +195,7 @@
 // Work that a gateway has in progress at one engine replica.
 struct EngineWork {
   std::string replica;
-  Incarnation incarnation =
-      0;  // The replica's incarnation, as the sender knows it.
+  Incarnation incarnation = 0;  // Of the replica, as the sender knows it.
   std::uint32_t running = 0;
   // Prompt tokens of requests that have not produced their first token.
   std::uint64_t unread_tokens = 0;
@@ -220,8 +219,8 @@
   std::string domain;  // Failure domain of the sender's host.
   // Maximum time until the sender's next heartbeat to this receiver.
   DurationUs period = 150 * kMillisecond;
-  bool requests_reply =
-      false;  // A probe: the receiver sends a heartbeat at once.
+  // A probe: the receiver must send a heartbeat at once.
+  bool requests_reply = false;
   std::vector<EngineWork> work;
   std::vector<ServiceQueueWait> waits;
 };
