--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -82,7 +82,7 @@
     answer.verdict = Verdict::kMayHaveRun;
   }
   if (answer.verdict == Verdict::kNotRun && answer.retry_after == 0 &&
-      Info(answer.reason).later_may_help) {
+      Info(answer.reason).retryable) {
     answer.retry_after = RetryAfter(*request);
   }
   const bool begun = request->begun;
--- a/src/coordination/interface/caller.h
+++ b/src/coordination/interface/caller.h
@@ -72,7 +72,7 @@
   answer.verdict = verdict;
   answer.reason = reason;
   answer.detail = std::move(detail);
-  answer.retry_after = Info(reason).later_may_help ? retry_after : 0;
+  answer.retry_after = Info(reason).retryable ? retry_after : 0;
   return answer;
 }
 
--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -577,19 +577,19 @@
 }
 
 QueueWait PieceBatcher::ExpectedWait(TimeUs now) const {
-  std::array<std::size_t, QueueWait::kRanks> ahead{};
+  std::array<std::size_t, QueueWait::kPriorityLevels> ahead{};
   for (const Rank& it : waiting_) {
     const std::size_t first = it.standing == Standing::kBegun ? 0
                               : it.standing == Standing::kLate
-                                  ? QueueWait::kRanks
+                                  ? QueueWait::kPriorityLevels
                                   : it.priority;
-    for (std::size_t n = first; n < QueueWait::kRanks; ++n) {
+    for (std::size_t n = first; n < QueueWait::kPriorityLevels; ++n) {
       ++ahead[n];
     }
   }
   const Pace pace = PaceOf(now);
   QueueWait wait;
-  for (std::size_t n = 0; n < QueueWait::kRanks; ++n) {
+  for (std::size_t n = 0; n < QueueWait::kPriorityLevels; ++n) {
     wait.in_time[n] = WaitBehind(pace, ahead[n]);
   }
   wait.late = WaitBehind(pace, waiting_.size());
--- a/src/coordination/stages/stage_replicas.cc
+++ b/src/coordination/stages/stage_replicas.cc
@@ -184,7 +184,7 @@
                          const ReplicaId& id,
                          const std::string& handle,
                          std::uint64_t bytes) {
-  held_[handle] = {id, bytes, now + limits_.result_life};
+  held_[handle] = {id, bytes, now + limits_.result_lifetime};
   Reserve(id, bytes);
 }
 
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -144,7 +144,7 @@
   replicas.plan = PlanReplicas(settings);
   // A request that is sent to a retained replica at the last moment must still
   // arrive within `contact`.
-  directory.SetMostKept(settings.freshness.contact - replicas.plan.act);
+  directory.SetMaxRetention(settings.freshness.contact - replicas.plan.act);
   pieces.SetMostConnect(replicas.plan.Connect());
 }
 
--- a/src/state/piece.h
+++ b/src/state/piece.h
@@ -64,14 +64,14 @@
 struct QueueWait {
   // Number of priorities that are distinguished. Less urgent ones count as the
   // last of them.
-  static constexpr std::size_t kRanks = 8;
+  static constexpr std::size_t kPriorityLevels = 8;
   // For requests that can still meet their target, by priority.
-  std::array<DurationUs, kRanks> in_time{};
+  std::array<DurationUs, kPriorityLevels> in_time{};
   DurationUs late = 0;  // For requests that can no longer meet their target.
   double memory = 0;    // Share of the replicas' result memory in use.
 
   DurationUs Of(std::uint32_t priority) const {
-    return in_time[std::min<std::size_t>(priority, kRanks - 1)];
+    return in_time[std::min<std::size_t>(priority, kPriorityLevels - 1)];
   }
 };
 
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -134,7 +134,9 @@
   void OnStoreBack(TimeUs now);
   // Limits how long entries are kept after their rows were removed, counted
   // from the last request that the store did not answer.
-  void SetMostKept(DurationUs max_retention) { max_retention_ = max_retention; }
+  void SetMaxRetention(DurationUs max_retention) {
+    max_retention_ = max_retention;
+  }
   // The directory reflects the store's list as of `known_at`.
   void OnCurrent(TimeUs known_at);
   // Removes entries whose retention has ended; call it every 10 ms.
--- a/src/state/replica_health.h
+++ b/src/state/replica_health.h
@@ -28,7 +28,7 @@
 
   // A pool that receives only calls that must not be repeated has no probes.
   // There an excluded replica gets calls again after the time of ten probes.
-  static constexpr DurationUs kTrustAgainAfter = 10 * kProbeEvery;
+  static constexpr DurationUs kExclusionTimeout = 10 * kProbeEvery;
 
   void OnSuccess() { failure_rate_ -= failure_rate_ * kSuccessWeight; }
   void OnFailure(TimeUs now) {
@@ -45,7 +45,7 @@
       return false;
     }
     const TimeUs retry_at =
-        may_probe ? next_probe_ : next_probe_ - kProbeEvery + kTrustAgainAfter;
+        may_probe ? next_probe_ : next_probe_ - kProbeEvery + kExclusionTimeout;
     return failure_rate_ < kExclusionThreshold || now >= retry_at;
   }
   bool reachable() const { return !unreachable_; }
--- a/src/state/serving_config.h
+++ b/src/state/serving_config.h
@@ -74,7 +74,7 @@
   DurationUs call = 0;                    // Fixed part of a call's duration.
   DurationUs piece = 0;                   // Time that each piece adds to it.
   std::uint64_t result_memory_bytes = 0;  // Memory for results at one replica.
-  DurationUs result_life = 0;  // A replica deletes its results after this.
+  DurationUs result_lifetime = 0;  // A replica deletes its results after this.
 };
 
 // Limits of a model engine.
--- a/src/types.h
+++ b/src/types.h
@@ -180,7 +180,7 @@
   std::string_view name;
   int http_status;
   std::string_view title;
-  bool later_may_help;  // Whether the response carries Retry-After.
+  bool retryable;  // Whether the response carries Retry-After.
 };
 
 inline constexpr std::array<RefusalInfo, 20> kRefusals = {{
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -21,7 +21,7 @@
     limits.call = 240 * kMs;
     limits.piece = 10 * kMs;
     limits.result_memory_bytes = 100;
-    limits.result_life = 4 * kSecond;
+    limits.result_lifetime = 4 * kSecond;
     batcher.SetService("maker", limits);
   }
 
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -59,7 +59,7 @@
 TEST(ReplicaDirectoryTest, KeepsVanishedEntriesNoLongerThanTheOutageMayMatter) {
   DirectoryRig rig;
   TimeUs now = 100 * kSecond;
-  rig.directory.SetMostKept(3 * kSecond);
+  rig.directory.SetMaxRetention(3 * kSecond);
   rig.directory.Put(DirectoryRig::Entry("r"));
   rig.directory.OnStoreLost(now);
   now += 2500 * kMillisecond;
--- a/tests/load_decisions_test.cc
+++ b/tests/load_decisions_test.cc
@@ -160,7 +160,7 @@
     }
     return n;
   };
-  const TimeUs again = kSecond + ReplicaHealth::kTrustAgainAfter;
+  const TimeUs again = kSecond + ReplicaHealth::kExclusionTimeout;
   EXPECT_EQ(chosen(again - 1), 0);
   EXPECT_GT(chosen(again), 0);
 }
