--- a/src/daemon/entry_node.cc
+++ b/src/daemon/entry_node.cc
@@ -528,7 +528,7 @@
 
 void EntryNode::Impl::QuitWhenDone() {
   const bool settled =
-      entry.Unsettled() == 0 || Loop::Now() >= claim_outcome_deadline;
+      entry.UnsettledOutcomes() == 0 || Loop::Now() >= claim_outcome_deadline;
   if (entry.InProgress() == 0 && server.Open() == 0 && settled) {
     LOG(INFO) << "event=stopped node=" << settings.node;
     loop->Quit();
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -144,8 +144,9 @@
   replicas.plan = PlanReplicas(settings);
   // A request that is sent to a retained replica at the last moment must still
   // arrive within `contact`.
-  directory.SetMaxRetention(settings.freshness.contact - replicas.plan.act);
-  pieces.SetMostConnect(replicas.plan.Connect());
+  directory.SetMaxRetention(settings.freshness.contact -
+                            replicas.plan.dispatch_time);
+  pieces.SetConnectTimeout(replicas.plan.Connect());
 }
 
 absl::Status GatewayNode::Impl::Start() {
@@ -207,7 +208,7 @@
   }
   const bool idle = elapsed >= kMinDrainDuration &&
                     gateway->in_progress() == 0 && clients.exchanges() == 0 &&
-                    dispatcher.ServesNobody();
+                    dispatcher.HasNoPeerRequests();
   if (!idle && elapsed < settings.grace - kExitReserve) {
     return;
   }
@@ -323,10 +324,10 @@
   constexpr DurationUs kMaxIdleForUnrepeatable = kSecond;
   ChannelOptions options;
   if (!attempt.may_repeat) {
-    options.most_idle = kMaxIdleForUnrepeatable;
+    options.max_idle_time = kMaxIdleForUnrepeatable;
   }
   options.connect = std::min(kConnectTimeout, replicas.plan.Connect());
-  options.most_kept = attempt.most_idle_connections;
+  options.max_kept = attempt.max_idle_connections;
   return channels.Start(attempt.address, platform::WriteAttemptRequest(attempt),
                         options, this);
 }
--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -32,7 +32,7 @@
     dispatcher.OnPeerLost(now, peer);
   }
   UpdateKnownGateways(now);
-  gateway->SetGatewayCount(peers.Live());
+  gateway->SetGatewayCount(peers.LiveCount());
   gateway->SetPeerCanCheckKeys(peers.AnyPeerCanCheckKeys());
   if (mesh == nullptr) {
     return;
--- a/src/daemon/sidecar_node.cc
+++ b/src/daemon/sidecar_node.cc
@@ -84,7 +84,7 @@
   }
   void CancelUpstream(UpstreamCallId id) override { upstream.Cancel(id); }
   void CheckUpstream() override { FetchReport(); }
-  void TellEntries() override {
+  void SendHeartbeatToEntries() override {
     for (const NodeId& it : entries) {
       mesh.SendDatagram(it, sidecar.MakeHeartbeat());
     }
@@ -233,7 +233,7 @@
             << " state=" << Name(logged_state);
   // Sends heartbeats at once, so that entries learn of the new state before
   // their next request for one.
-  TellEntries();
+  SendHeartbeatToEntries();
 }
 
 void SidecarNode::Impl::FetchReport() {
--- a/src/transport/upstream_client.h
+++ b/src/transport/upstream_client.h
@@ -34,8 +34,8 @@
   void ReadFence(
       const std::function<void(bool known, bool enforces_fence, FenceNumber)>&
           done);
-  void PassOrder(const ControlOrder& order,
-                 const std::function<void(OrderOutcome, FenceNumber)>& done);
+  void ForwardOrder(const ControlOrder& order,
+                    const std::function<void(OrderOutcome, FenceNumber)>& done);
   void FetchReport(const std::function<void(const UpstreamReport&)>& done);
 
  private:
