--- a/src/state/client_request.h
+++ b/src/state/client_request.h
@@ -48,7 +48,7 @@
   // The replica states that it did not run the request.
   bool not_run = false;
   bool other_replica = false;  // Another replica now has the address.
-  // Carries the `Replica-Seal` field, which proves that the replica answered.
+  // Carries the replica's seal, which proves that the replica itself answered.
   bool sealed = false;
   bool encoded = false;  // The body has a content encoding.
   // Requests at the replica, if its answer reports them.
