--- a/tests/gateway/table_net.h
+++ b/tests/gateway/table_net.h
@@ -70,7 +70,7 @@
       lost = false;
       peers = std::make_unique<GatewayPeers>(self, &log);
       directory = std::make_unique<ReplicaDirectory>(this);
-      directory->SetMaxRetention(kContact);
+      directory->SetMaxRetention(kRecoveryBound);
       relay = std::make_unique<TableRelay>("t", this);
       source = std::make_unique<TableSource>(
           "t", &net->plan_, peers.get(), this, this, &random, &metrics, &log,
--- a/tests/load_decisions_test.cc
+++ b/tests/load_decisions_test.cc
@@ -164,9 +164,9 @@
     }
     return n;
   };
-  const TimeUs again = kSecond + ReplicaHealth::kExclusionTimeout;
-  EXPECT_EQ(chosen(again - 1), 0);
-  EXPECT_GT(chosen(again), 0);
+  const TimeUs trusted_again_at = kSecond + ReplicaHealth::kExclusionTimeout;
+  EXPECT_EQ(chosen(trusted_again_at - 1), 0);
+  EXPECT_GT(chosen(trusted_again_at), 0);
 }
 
 // With the same work in progress, a replica that is four times slower would
