--- a/src/coordination/interface/quarantine.h
+++ b/src/coordination/interface/quarantine.h
@@ -3,7 +3,7 @@
 // A request that crashes each upstream it reaches is sent again by its caller
 // through another entry and a new connection. Without a quarantine each attempt
 // costs a replica and every request in progress there: a pool of nine replicas
-// is gone after nine attempts.
+// is out of service after nine attempts.
 //
 // A crash makes every request in progress a suspect, as it does not show which
 // one caused it. Each suspect runs alone, at an upstream that has not crashed
