--- a/src/coordination/control/fence.cc
+++ b/src/coordination/control/fence.cc
@@ -113,7 +113,7 @@
     return;
   }
   order_in_progress_ = true;
-  output_->PassOrder(order);
+  output_->ForwardOrder(order);
 }
 
 void FenceGuard::OnUpstreamFence(bool keeps_numbers, FenceNumber number) {
--- a/src/coordination/control/fence.h
+++ b/src/coordination/control/fence.h
@@ -40,7 +40,7 @@
   virtual void ReadLease(std::uint64_t ticket) = 0;
   // Reads the number stored by the upstream; `OnUpstreamFence` receives it.
   virtual void ReadUpstreamFence() = 0;
-  virtual void PassOrder(const ControlOrder& order) = 0;
+  virtual void ForwardOrder(const ControlOrder& order) = 0;
   virtual void AnswerOrder(const NodeId& holder,
                            const ControlOrderResult& result) = 0;
 };
--- a/src/coordination/interface/claims.cc
+++ b/src/coordination/interface/claims.cc
@@ -615,7 +615,7 @@
   return next;
 }
 
-std::size_t Claims::Unsettled() const {
+std::size_t Claims::UnsettledOutcomes() const {
   return impl_->settling.size();
 }
 
--- a/src/coordination/interface/claims.h
+++ b/src/coordination/interface/claims.h
@@ -59,7 +59,7 @@
   virtual void OnTick(TimeUs now) = 0;
   virtual TimeUs NextWakeup() const = 0;
   // Number of outcomes that are not yet confirmed in the table.
-  virtual std::size_t Unsettled() const = 0;
+  virtual std::size_t UnsettledOutcomes() const = 0;
 };
 
 struct ClaimOptions {
@@ -87,7 +87,7 @@
                     std::string_view key) override;
   void OnTick(TimeUs now) override;
   TimeUs NextWakeup() const override;
-  std::size_t Unsettled() const override;
+  std::size_t UnsettledOutcomes() const override;
 
  private:
   struct Impl;
--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -496,8 +496,8 @@
   return impl_->requests.size();
 }
 
-std::size_t Entry::Unsettled() const {
-  return impl_->claims->Unsettled();
+std::size_t Entry::UnsettledOutcomes() const {
+  return impl_->claims->UnsettledOutcomes();
 }
 
 const CostTable& Entry::costs() const {
--- a/src/coordination/interface/entry.h
+++ b/src/coordination/interface/entry.h
@@ -98,7 +98,7 @@
   void Leave();
   std::size_t InProgress() const;
   // Number of claim outcomes that are not yet confirmed in the table.
-  std::size_t Unsettled() const;
+  std::size_t UnsettledOutcomes() const;
 
   const CostTable& costs() const;
   ReplicaTable& replicas();
--- a/src/coordination/interface/quarantine.cc
+++ b/src/coordination/interface/quarantine.cc
@@ -184,7 +184,7 @@
   return changed;
 }
 
-std::vector<QuarantineRecord> Quarantine::Told(TimeUs now) {
+std::vector<QuarantineRecord> Quarantine::RecordsToSend(TimeUs now) {
   std::erase_if(records_,
                 [now](const auto& it) { return IsExpired(now, it.second); });
   std::vector<QuarantineRecord> all;
--- a/src/coordination/interface/quarantine.h
+++ b/src/coordination/interface/quarantine.h
@@ -83,7 +83,7 @@
   // Merges records of another node; returns true if any record changed.
   bool Merge(TimeUs now, const std::vector<QuarantineRecord>& records);
   // Returns the records to send with the next heartbeat.
-  std::vector<QuarantineRecord> Told(TimeUs now);
+  std::vector<QuarantineRecord> RecordsToSend(TimeUs now);
   // Returns the record of one request, to attach to stage calls and to failures
   // after a crash; empty if there is none.
   std::vector<QuarantineRecord> RecordOf(TimeUs now,
--- a/src/coordination/sidecar/sidecar.cc
+++ b/src/coordination/sidecar/sidecar.cc
@@ -535,7 +535,7 @@
   heartbeat.load.limit = impl_->limit.Current();
   heartbeat.load.service_us =
       static_cast<std::uint32_t>(impl_->service_times.Mean());
-  heartbeat.quarantined = impl_->quarantine.Told(impl_->last_input_at);
+  heartbeat.quarantined = impl_->quarantine.RecordsToSend(impl_->last_input_at);
   return heartbeat;
 }
 
--- a/src/coordination/sidecar/sidecar.h
+++ b/src/coordination/sidecar/sidecar.h
@@ -52,7 +52,7 @@
   // Requests a status report at once. A missing report counts as unreachable.
   virtual void CheckUpstream() {}
   // Sends a heartbeat to every entry at once.
-  virtual void TellEntries() {}
+  virtual void SendHeartbeatToEntries() {}
   virtual void Export(const Span& span) = 0;
 };
 
--- a/src/coordination/sidecar/sidecar_upstream.cc
+++ b/src/coordination/sidecar/sidecar_upstream.cc
@@ -74,7 +74,7 @@
     Forget(now, key);
   }
   if (crashed) {
-    output->TellEntries();
+    output->SendHeartbeatToEntries();
   }
 }
 
--- a/src/daemon/entry_node.cc
+++ b/src/daemon/entry_node.cc
@@ -474,7 +474,7 @@
   heartbeat.state = draining ? NodeState::kLeaving : NodeState::kReady;
   heartbeat.sequence = sequence;
   heartbeat.sent_at = Loop::Now();
-  heartbeat.quarantined = entry.quarantine().Told(Loop::Now());
+  heartbeat.quarantined = entry.quarantine().RecordsToSend(Loop::Now());
   heartbeat.receiver_leaving = members.ListedLeaving(sidecar);
   mesh.SendDatagram(sidecar, heartbeat);
 }
@@ -521,7 +521,8 @@
 }
 
 void EntryNode::Impl::QuitWhenDone() {
-  const bool settled = entry.Unsettled() == 0 || Loop::Now() >= settle_until;
+  const bool settled =
+      entry.UnsettledOutcomes() == 0 || Loop::Now() >= settle_until;
   if (entry.InProgress() == 0 && server.Open() == 0 && settled) {
     LOG(INFO) << "event=stopped node=" << settings.node;
     loop->Quit();
--- a/src/daemon/sidecar_node.cc
+++ b/src/daemon/sidecar_node.cc
@@ -81,7 +81,7 @@
   }
   void CancelUpstream(UpstreamCallId id) override { upstream.Cancel(id); }
   void CheckUpstream() override { AskReport(); }
-  void TellEntries() override {
+  void SendHeartbeatToEntries() override {
     for (const NodeId& it : entries) {
       mesh.SendDatagram(it, sidecar.MakeHeartbeat());
     }
@@ -91,7 +91,7 @@
   // FenceOutput:
   void ReadLease(std::uint64_t ticket) override;
   void ReadUpstreamFence() override;
-  void PassOrder(const ControlOrder& order) override;
+  void ForwardOrder(const ControlOrder& order) override;
   void AnswerOrder(const NodeId& holder,
                    const ControlOrderResult& result) override {
     mesh.Send(holder, result);
@@ -206,7 +206,7 @@
   });
 }
 
-void SidecarNode::Impl::PassOrder(const ControlOrder& order) {
+void SidecarNode::Impl::ForwardOrder(const ControlOrder& order) {
   LOG(INFO) << "event=order node=" << settings.node
             << " order_id=" << order.order_id << " kind=" << Name(order.kind)
             << " fence=" << order.fence;
@@ -214,8 +214,8 @@
     sidecar.LeaveByOrder(Loop::Now());
     Rearm();
   }
-  upstream.PassOrder(order, [this, id = order.order_id](OrderOutcome outcome,
-                                                        FenceNumber number) {
+  upstream.ForwardOrder(order, [this, id = order.order_id](OrderOutcome outcome,
+                                                           FenceNumber number) {
     fence.OnOutcome(Loop::Now(), id, outcome, number);
   });
 }
@@ -228,7 +228,7 @@
   LOG(INFO) << "event=state node=" << settings.node
             << " state=" << Name(logged_state);
   // Entries need not wait for their next question to hear of it.
-  TellEntries();
+  SendHeartbeatToEntries();
 }
 
 void SidecarNode::Impl::AskReport() {
--- a/src/transport/upstream_client.cc
+++ b/src/transport/upstream_client.cc
@@ -204,7 +204,7 @@
   });
 }
 
-void UpstreamClient::PassOrder(
+void UpstreamClient::ForwardOrder(
     const ControlOrder& order,
     const std::function<void(OrderOutcome, FenceNumber)>& done) {
   HttpRequest request;
--- a/src/transport/upstream_client.h
+++ b/src/transport/upstream_client.h
@@ -32,8 +32,8 @@
   // `keeps` when it ignores numbers.
   void ReadFence(
       const std::function<void(bool known, bool keeps, FenceNumber)>& done);
-  void PassOrder(const ControlOrder& order,
-                 const std::function<void(OrderOutcome, FenceNumber)>& done);
+  void ForwardOrder(const ControlOrder& order,
+                    const std::function<void(OrderOutcome, FenceNumber)>& done);
   void AskReport(const std::function<void(const UpstreamReport&)>& done);
 
  private:
--- a/tests/claims_property_test.cc
+++ b/tests/claims_property_test.cc
@@ -75,7 +75,7 @@
   TimeUs NextWakeup() const override {
     return std::numeric_limits<TimeUs>::max();
   }
-  std::size_t Unsettled() const override { return 0; }
+  std::size_t UnsettledOutcomes() const override { return 0; }
 
  private:
   ClaimEvents* const events_;
--- a/tests/claims_test.cc
+++ b/tests/claims_test.cc
@@ -138,7 +138,7 @@
   EXPECT_EQ(OnlyAnswer(driver, refused).verdict, Verdict::kNotRun);
   driver.Run(2 * kSecond);
   EXPECT_EQ(RowOf(driver, "k").state, ClaimState::kRefused);
-  EXPECT_EQ(driver.entry(0).Unsettled(), 0);
+  EXPECT_EQ(driver.entry(0).UnsettledOutcomes(), 0);
   const auto resent = driver.Ask(1, CoreDriver::MakeOnce("k", R"("late")"));
   driver.Run(2 * kSecond);
   EXPECT_EQ(OnlyAnswer(driver, resent).verdict, Verdict::kAnswered);
@@ -155,10 +155,10 @@
   driver.store_fault = [](const auto&) { return StoreFault::kDown; };
   driver.Run(60 * kSecond);
   EXPECT_EQ(OnlyAnswer(driver, handle).verdict, Verdict::kAnswered);
-  EXPECT_EQ(driver.entry(0).Unsettled(), 1);
+  EXPECT_EQ(driver.entry(0).UnsettledOutcomes(), 1);
   driver.store_fault = nullptr;
   driver.Run(10 * kSecond);
-  EXPECT_EQ(driver.entry(0).Unsettled(), 0);
+  EXPECT_EQ(driver.entry(0).UnsettledOutcomes(), 0);
   driver.entry(1).OnStatus(driver.now(), 999, "office", "k");
   driver.Run(kSecond);
   EXPECT_EQ(OnlyAnswer(driver, 999).body, OnlyAnswer(driver, handle).body);
@@ -289,7 +289,7 @@
   for (std::uint64_t n = 0; n < 1000; ++n) {
     claims.End(1000, {1, n}, answer);
   }
-  EXPECT_EQ(claims.Unsettled(), 256);
+  EXPECT_EQ(claims.UnsettledOutcomes(), 256);
   EXPECT_EQ(metrics.Value("acaciachute_outcomes_dropped_total"), 744);
 }
 
--- a/tests/core_driver.cc
+++ b/tests/core_driver.cc
@@ -71,7 +71,7 @@
     driver->sidecars_.at(node).running.erase(id);
   }
   void CheckUpstream() override { driver->AnswerReport(node); }
-  void TellEntries() override { driver->SidecarHeartbeat(node); }
+  void SendHeartbeatToEntries() override { driver->SidecarHeartbeat(node); }
   void Export(const Span& span) override {}
 
   CoreDriver* const driver;
@@ -299,7 +299,7 @@
   Heartbeat heartbeat;
   heartbeat.state = NodeState::kReady;
   heartbeat.sent_at = now_;
-  heartbeat.quarantined = entries_[n].core->quarantine().Told(now_);
+  heartbeat.quarantined = entries_[n].core->quarantine().RecordsToSend(now_);
   const NodeId from = EntryName(n);
   SidecarProcess* process = &sidecars_.at(to);
   for (const DurationUs delay : FateOf(from, to, heartbeat).delays) {
--- a/tests/fence_test.cc
+++ b/tests/fence_test.cc
@@ -24,7 +24,7 @@
   // FenceOutput:
   void ReadLease(std::uint64_t ticket) override { tickets.push_back(ticket); }
   void ReadUpstreamFence() override {}
-  void PassOrder(const ControlOrder& order) override {
+  void ForwardOrder(const ControlOrder& order) override {
     forwarded.push_back(order);
   }
   void AnswerOrder(const NodeId& holder,
--- a/tests/model/fence_model_test.cc
+++ b/tests/model/fence_model_test.cc
@@ -89,7 +89,7 @@
   }
   // `Start` answers it.
   void ReadUpstreamFence() override {}
-  void PassOrder(const ControlOrder& order) override {
+  void ForwardOrder(const ControlOrder& order) override {
     // The number of the order's holder, whatever number the guard was shown.
     const FenceNumber number = std::stoull(order.model_version);
     const bool refused = upstream_checks_ && number < upstream_number_;
--- a/tests/quarantine_test.cc
+++ b/tests/quarantine_test.cc
@@ -303,7 +303,7 @@
   }
   EXPECT_EQ(quarantine.size(), Quarantine::kMaxRecords);
   EXPECT_EQ(quarantine.Of(2 * kSecond, 1), QuarantineState::kConvicted);
-  EXPECT_EQ(quarantine.Told(2 * kSecond).size(),
+  EXPECT_EQ(quarantine.RecordsToSend(2 * kSecond).size(),
             Quarantine::kMaxRecordsPerHeartbeat);
 }
 
@@ -316,7 +316,7 @@
   }
   Quarantine receiver;
   for (int n = 0; n < 100 / 8 + 1; ++n) {
-    receiver.Merge(kSecond, sender.Told(kSecond));
+    receiver.Merge(kSecond, sender.RecordsToSend(kSecond));
   }
   EXPECT_EQ(receiver.All(kSecond).size(), 100);
 }
