--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -131,7 +131,8 @@
   return event;
 }
 
-// Checks whether the request may be admitted; the reason is then `kNone`.
+// Returns the refusal of a request, or an answer with reason `kNone` if the
+// request may be admitted.
 CallerAnswer Entry::Impl::Check(const CallerRequest& call,
                                 const Event* event) const {
   const auto refuse = [](Refusal reason, std::string detail = "") {
--- a/src/coordination/sidecar/sidecar.cc
+++ b/src/coordination/sidecar/sidecar.cc
@@ -309,8 +309,8 @@
   Forget(now, key);
 }
 
-// Ends a running call whose result is no longer needed. It is cancelled at the
-// upstream only if that is safe.
+// Ends a running call whose result is no longer needed. Only an idempotent call
+// is cancelled at the upstream; another one keeps its slot until it ends.
 void Sidecar::Impl::EndRunning(TimeUs now,
                                const StageKey& key,
                                Refusal reason) {
