--- a/bench/gateway_load.cc
+++ b/bench/gateway_load.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // Requests are sent in this rhythm, so that a rate is even.
-constexpr DurationUs kBeat = 5 * kMillisecond;
+constexpr DurationUs kTimerPeriod = 5 * kMillisecond;
 
 struct Load {
   std::string route;
@@ -23,11 +23,11 @@
   const std::size_t sent_before = world->ledger()->sent();
   const TimeUs start = Loop::Now();
   double due = 0;
-  const auto timer = loop->Every(kBeat, [&] {
+  const auto timer = loop->Every(kTimerPeriod, [&] {
     if (Loop::Now() - start > time) {
       return;
     }
-    due += load.per_second * static_cast<double>(kBeat) /
+    due += load.per_second * static_cast<double>(kTimerPeriod) /
            static_cast<double>(kSecond);
     for (; due >= 1; --due) {
       world->Send(load.route, 0);
@@ -73,7 +73,7 @@
       std::printf("%s: %s %d\n", route.c_str(), end.c_str(), n);
     }
   }
-  for (const auto& it : world.ledger()->Broken()) {
+  for (const auto& it : world.ledger()->Violations()) {
     std::printf("broken: %s\n", it.c_str());
   }
   return 0;
--- a/tests/process/gateway_test.cc
+++ b/tests/process/gateway_test.cc
@@ -53,8 +53,9 @@
     }
     const HttpFields fields = {{"Attempt-Id", ids.back()},
                                {"Replica-Seal", "proof"}};
-    Later(loop_, delay, alive_,
-          [this, id, fields] { listener_.Reply(id, 200, fields, "answer"); });
+    RunAfter(loop_, delay, alive_, [this, id, fields] {
+      listener_.Reply(id, 200, fields, "answer");
+    });
   }
   void OnGone(ExchangeId) override {}
   void OnWritten(ExchangeId) override {}
@@ -73,12 +74,12 @@
   Json Row(const std::string& table,
            const std::string& key,
            const Json& value) {
-    std::string coded;
-    absl::Base64Escape(value.dump(), &coded);
+    std::string encoded;
+    absl::Base64Escape(value.dump(), &encoded);
     return {{"table", table},
             {"part", ""},
             {"key", key},
-            {"value", coded},
+            {"value", encoded},
             {"ver", 1}};
   }
   Json Config() {
@@ -144,11 +145,11 @@
         at == std::string::npos
             ? 0
             : std::stol(target.substr(target.find('=', at) + 1)) * kMillisecond;
-    Later(loop_, waits ? std::min(asked, kSecond) : 0, alive_,
-          [this, id, text = answer.dump()] {
-            listener_.Reply(id, 200, {{"Content-Type", "application/json"}},
-                            text);
-          });
+    RunAfter(loop_, waits ? std::min(asked, kSecond) : 0, alive_,
+             [this, id, text = answer.dump()] {
+               listener_.Reply(id, 200, {{"Content-Type", "application/json"}},
+                               text);
+             });
   }
 
   Loop* const loop_;
@@ -170,12 +171,12 @@
     retry_after = FindField(head.fields, "Retry-After") != nullptr;
   }
   void OnAnswerBody(CallId, std::string_view bytes) override { body += bytes; }
-  void OnAnswerEnd(CallId) override { over = true; }
-  void OnCallFailed(CallId, const CallFailure&) override { over = true; }
+  void OnAnswerEnd(CallId) override { ended = true; }
+  void OnCallFailed(CallId, const CallFailure&) override { ended = true; }
   int status = 0;
   bool closes = false;
   bool retry_after = false;
-  bool over = false;
+  bool ended = false;
   std::string body;
 };
 
@@ -222,7 +223,7 @@
     options.total = 500 * kMillisecond;
     channels_.Start(gateway_->readiness(), request, options, &answer);
     const TimeUs end = Loop::Now() + kSecond;
-    while (!answer.over && Loop::Now() < end) {
+    while (!answer.ended && Loop::Now() < end) {
       loop_.After(kMillisecond, [this] { loop_.Quit(); });
       loop_.Run();
     }
@@ -239,7 +240,7 @@
   Start();
   Answer answer;
   Send("c1", &answer);
-  ASSERT_TRUE(WaitFor([&] { return answer.over; }));
+  ASSERT_TRUE(WaitFor([&] { return answer.ended; }));
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.body, "answer");
   EXPECT_EQ(standin_.account, "acme");
@@ -253,7 +254,7 @@
   standin_.break_connection = true;
   Answer answer;
   Send("c1", &answer);
-  ASSERT_TRUE(WaitFor([&] { return answer.over; }));
+  ASSERT_TRUE(WaitFor([&] { return answer.ended; }));
   EXPECT_EQ(answer.status, 502);
   EXPECT_EQ(standin_.runs, 1);
 }
@@ -269,7 +270,7 @@
   ASSERT_TRUE(WaitFor([&] { return standin_.runs == 1; }));
   gateway_->Signal(SIGTERM);
   ASSERT_TRUE(WaitFor([&] { return ReadinessStatus() == 503; }));
-  ASSERT_TRUE(WaitFor([&] { return answer.over; }));
+  ASSERT_TRUE(WaitFor([&] { return answer.ended; }));
   EXPECT_EQ(answer.body, "answer");
   EXPECT_TRUE(answer.closes);
   ASSERT_TRUE(WaitFor([&] { return gateway_->Ended(); }));
@@ -284,7 +285,7 @@
   Start();
   Answer refused;
   Send("c1", &refused);
-  ASSERT_TRUE(WaitFor([&] { return refused.over; }));
+  ASSERT_TRUE(WaitFor([&] { return refused.ended; }));
   EXPECT_EQ(refused.status, 503);
   EXPECT_TRUE(refused.retry_after);
   EXPECT_EQ(standin_.runs, 0);
@@ -293,7 +294,7 @@
   ASSERT_TRUE(WaitFor([&] {
     Answer answer;
     Send("c" + std::to_string(++n), &answer);
-    return WaitFor([&] { return answer.over; }) && answer.status == 200;
+    return WaitFor([&] { return answer.ended; }) && answer.status == 200;
   }));
 }
 
--- a/tests/process/sidecar_test.cc
+++ b/tests/process/sidecar_test.cc
@@ -219,8 +219,8 @@
     order.model = "notices";
     const std::size_t before = results.size();
     mesh.Send("models-1", order);
-    // A sidecar that has just started may answer kNotCurrent because it has no
-    // fencing number from its upstream yet; the order is then sent again.
+    // A sidecar that has just started answers kNotCurrent until it knows the
+    // state of its upstream; the order is then sent again.
     EXPECT_TRUE(deployment->WaitFor(
         [&] {
           if (results.size() == before) {
--- a/tests/process/soak_test.cc
+++ b/tests/process/soak_test.cc
@@ -14,18 +14,19 @@
 // The guarantees are: an attempt that is answered as not run has not run, a
 // non-idempotent attempt runs at most once, each complete answer belongs to its
 // own attempt, each attempt ends, and the system recovers after the faults.
-TEST_P(SoakTest, KeepsItsPromises) {
+TEST_P(SoakTest, KeepsItsGuarantees) {
   Loop loop;
   SoakOptions options;
   options.seed = GetParam();
-  options.time = 6 * kSecond;
+  options.fault_time = 6 * kSecond;
   const SoakReport report = RunSoak(&loop, options);
   std::string faults;
   for (const auto& it : report.faults) {
     faults += it + "\n";
   }
-  EXPECT_EQ(report.broken, std::vector<std::string>()) << report.summary << "\n"
-                                                       << faults;
+  EXPECT_EQ(report.violations, std::vector<std::string>())
+      << report.summary << "\n"
+      << faults;
 }
 
 // Seed 102 showed that the stand-in engine restarted a resumed stream from its
--- a/tests/soak/gateway_process.cc
+++ b/tests/soak/gateway_process.cc
@@ -46,13 +46,13 @@
       options_.log.empty() ? G_SUBPROCESS_FLAGS_STDOUT_SILENCE
                            : G_SUBPROCESS_FLAGS_NONE));
   if (!options_.log.empty()) {
-    // Appends: a restart goes on in the same file.
+    // Appends, so that a restarted process continues the same log.
     const int fd =
         g_open(options_.log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     PCHECK(fd >= 0) << options_.log;
     g_subprocess_launcher_take_stdout_fd(launcher.get(), fd);
   }
-  // A soak that is killed leaves no gateways behind.
+  // The kernel kills the gateway when the test program dies.
   g_subprocess_launcher_set_child_setup(
       launcher.get(), [](gpointer) { prctl(PR_SET_PDEATHSIG, SIGKILL); },
       nullptr, nullptr);
@@ -63,8 +63,8 @@
       nullptr));
   PCHECK(process_ != nullptr);
   pid_ = g_subprocess_get_identifier(process_.get());
-  // Of this process only: the loop may tell of its end after the next one has
-  // begun, or after this object is gone.
+  // Each process has its own flag, because the loop may report the end of a
+  // process after the next one was started or after this object was destroyed.
   ended_ = std::make_shared<bool>(false);
   g_subprocess_wait_async(
       process_.get(), nullptr,
@@ -91,7 +91,7 @@
          g_subprocess_get_successful(process_.get());
 }
 
-std::string GatewayProcess::ProcFile(const std::string& name) const {
+std::string GatewayProcess::ReadProcFile(const std::string& name) const {
   std::ifstream in(StrCat("/proc/", pid_, "/", name));
   std::stringstream text;
   text << in.rdbuf();
@@ -99,8 +99,8 @@
 }
 
 DurationUs GatewayProcess::ProcessorTime() const {
-  // Fields after the command's name, which is in parentheses.
-  const std::string text = ProcFile("stat");
+  // The fields of proc(5) are counted after the command name in parentheses.
+  const std::string text = ReadProcFile("stat");
   const auto parts = Split(text.substr(text.rfind(')') + 2), ' ');
   constexpr std::size_t kUser = 11;
   constexpr std::size_t kSystem = 12;
@@ -110,7 +110,7 @@
 }
 
 std::uint64_t GatewayProcess::MemoryBytes() const {
-  const auto parts = Split(ProcFile("statm"), ' ');
+  const auto parts = Split(ReadProcFile("statm"), ' ');
   return ParseNumber<std::uint64_t>(parts[1]).value_or(0) *
          static_cast<std::uint64_t>(sysconf(_SC_PAGESIZE));
 }
--- a/tests/soak/gateway_process.h
+++ b/tests/soak/gateway_process.h
@@ -1,5 +1,5 @@
-// One gateway as a process of its own, with the settings file that the platform
-// would lay down.
+// Runs one gateway process with the settings file that the platform would
+// provide.
 #ifndef ACACIACHUTE_TESTS_SOAK_GATEWAY_PROCESS_H_
 #define ACACIACHUTE_TESTS_SOAK_GATEWAY_PROCESS_H_
 
@@ -15,9 +15,9 @@
 
 struct GatewayProcessOptions {
   std::string name;
-  std::string domain = "a";
+  std::string domain = "a";  // Failure domain.
   Address store;
-  std::string log;  // A file; empty drops what the process writes.
+  std::string log;  // File for its stdout; empty: output is dropped.
 };
 
 class GatewayProcess {
@@ -27,22 +27,22 @@
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
 
-  // Addresses stay over restarts.
+  // Starts the process, also after its end. It keeps its addresses.
   void Start();
   void Signal(int signal);
-  // Whether the process has ended, by itself or by a signal.
+  // Whether the process has exited or was killed by a signal.
   bool Ended() const;
-  // Whether it ended by itself with success; due after `Ended`.
+  // Whether the process exited with status 0; call only after `Ended`.
   bool ExitedCleanly() const;
-  // Processor time used so far, user and system.
+  // User and system CPU time of the process so far.
   DurationUs ProcessorTime() const;
-  // Resident memory.
+  // Resident memory of the process.
   std::uint64_t MemoryBytes() const;
   const Address& clients() const { return clients_; }
   const Address& readiness() const { return readiness_; }
 
  private:
-  std::string ProcFile(const std::string& name) const;
+  std::string ReadProcFile(const std::string& name) const;
 
   const GatewayProcessOptions options_;
   const Address clients_;
--- a/tests/soak/ledger.cc
+++ b/tests/soak/ledger.cc
@@ -7,13 +7,13 @@
 namespace acaciachute {
 namespace {
 
-// These promise that the attempt has not run and never will.
-bool PromisesNotRun(int status) {
+// Statuses that guarantee that the attempt has not run and will not run.
+bool GuaranteesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-// From a client's deadline until its attempt must be over.
-constexpr DurationUs kOverBy = 1500 * kMillisecond;
+// Maximum time from the deadline of an attempt until it must have ended.
+constexpr DurationUs kMaxEndDelay = 1500 * kMillisecond;
 
 }  // namespace
 
@@ -25,48 +25,52 @@
 void Ledger::OnRun(const std::string& id, const std::string& account) {
   const auto it = entries_.find(id);
   if (it == entries_.end()) {
-    OnBroken("runs what no client sent", id);
+    OnViolation("ran although no client sent it", id);
     return;
   }
   LedgerEntry& entry = it->second;
   ++entry.runs;
   if (account != entry.account) {
-    OnBroken(StrCat("runs for account '", account, "'"), id);
+    OnViolation(StrCat("ran for wrong account '", account, "'"), id);
   }
-  if (entry.over && entry.status != 0 && PromisesNotRun(entry.status)) {
-    OnBroken("runs after it was refused", id);
+  if (entry.ended && entry.status != 0 && GuaranteesNotRun(entry.status)) {
+    OnViolation("ran after it was refused as not run", id);
   }
 }
 
-void Ledger::OnOver(TimeUs now, const std::string& id, int status, bool whole) {
+void Ledger::OnEnded(TimeUs now,
+                     const std::string& id,
+                     int status,
+                     bool whole) {
   LedgerEntry& entry = entries_.at(id);
-  if (entry.over) {
-    OnBroken("ends twice", id);
+  if (entry.ended) {
+    OnViolation("ended twice", id);
     return;
   }
-  entry.over = true;
-  entry.over_at = now;
+  entry.ended = true;
+  entry.ended_at = now;
   entry.status = status;
   entry.whole = whole;
   --open_;
 }
 
-void Ledger::OnBroken(const std::string& promise, const std::string& id) {
-  broken_.push_back(StrCat(id, ": ", promise));
+void Ledger::OnViolation(const std::string& promise, const std::string& id) {
+  violations_.push_back(StrCat(id, ": ", promise));
 }
 
-std::vector<std::string> Ledger::Broken() const {
-  std::vector<std::string> all = broken_;
+std::vector<std::string> Ledger::Violations() const {
+  std::vector<std::string> all = violations_;
   for (const auto& [id, it] : entries_) {
-    if (!it.may_repeat && it.runs > 1) {
+    if (!it.idempotent && it.runs > 1) {
       all.push_back(StrCat(id, ": ran ", it.runs, " times"));
     }
-    if (!it.may_repeat && it.runs > 0 && PromisesNotRun(it.status)) {
-      all.push_back(StrCat(id, ": ran, and was refused with ", it.status));
+    if (!it.idempotent && it.runs > 0 && GuaranteesNotRun(it.status)) {
+      all.push_back(StrCat(id, ": ran although it was refused as not run with ",
+                           it.status));
     }
-    if (it.over && it.over_at - it.sent_at > it.deadline + kOverBy) {
-      all.push_back(StrCat(id, ": over ",
-                           (it.over_at - it.sent_at) / kMillisecond,
+    if (it.ended && it.ended_at - it.sent_at > it.deadline + kMaxEndDelay) {
+      all.push_back(StrCat(id, ": ended ",
+                           (it.ended_at - it.sent_at) / kMillisecond,
                            " ms after it was sent"));
     }
   }
@@ -76,10 +80,11 @@
 std::map<std::string, std::map<std::string, int>> Ledger::Outcomes() const {
   std::map<std::string, std::map<std::string, int>> out;
   for (const auto& [id, it] : entries_) {
-    const std::string end = !it.over                        ? "open"
-                            : it.status == 0                ? "cut"
-                            : it.status == 200 && !it.whole ? "cut in answer"
-                                                            : StrCat(it.status);
+    const std::string end = !it.ended        ? "open"
+                            : it.status == 0 ? "cut"
+                            : it.status == 200 && !it.whole
+                                ? "cut during the answer"
+                                : StrCat(it.status);
     ++out[it.route][end];
   }
   return out;
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -1,5 +1,6 @@
-// What clients sent and heard and what replicas ran, and which promises that
-// breaks. Judges only what outsiders of the system see.
+// Records the attempts that clients sent, the answers they received and the
+// runs at replicas, and finds violations of the guarantees. Uses only what
+// clients and replicas observe.
 #ifndef ACACIACHUTE_TESTS_SOAK_LEDGER_H_
 #define ACACIACHUTE_TESTS_SOAK_LEDGER_H_
 
@@ -16,35 +17,37 @@
 struct LedgerEntry {
   std::string route;
   std::string account;
-  bool may_repeat = false;
+  bool idempotent = false;  // Idempotent: may run more than once.
   TimeUs sent_at = 0;
   DurationUs deadline = 0;
   int runs = 0;
-  bool over = false;
-  TimeUs over_at = 0;
-  int status = 0;  // Zero: the connection ended without an answer.
-  bool whole = false;
+  bool ended = false;
+  TimeUs ended_at = 0;
+  int status = 0;  // HTTP status; zero: the connection ended without answer.
+  bool whole = false;  // The answer was complete.
 };
 
 class Ledger {
  public:
   void OnSent(const std::string& id, LedgerEntry entry);
-  // A replica begins to run the attempt for `account`.
+  // A replica starts to run the attempt, for `account`.
   void OnRun(const std::string& id, const std::string& account);
-  void OnOver(TimeUs now, const std::string& id, int status, bool whole);
-  // A promise that some party saw broken itself.
-  void OnBroken(const std::string& promise, const std::string& id);
-
-  // Looks at all entries; each broken promise is one line with the id.
-  std::vector<std::string> Broken() const;
-  // How attempts of a route ended, for the summary.
+  // The client received its answer, or its connection broke.
+  void OnEnded(TimeUs now, const std::string& id, int status, bool whole);
+  // A client or replica observed a violation.
+  void OnViolation(const std::string& promise, const std::string& id);
+
+  // All violations, each as one line with the id of the attempt.
+  std::vector<std::string> Violations() const;
+  // Number of attempts by route and outcome, for the summary.
   std::map<std::string, std::map<std::string, int>> Outcomes() const;
+  // Attempts that have not ended.
   std::size_t open() const { return open_; }
   std::size_t sent() const { return entries_.size(); }
 
  private:
   std::map<std::string, LedgerEntry> entries_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   std::size_t open_ = 0;
 };
 
--- a/tests/soak/loopback.cc
+++ b/tests/soak/loopback.cc
@@ -36,20 +36,20 @@
   return {};
 }
 
-void Later(Loop* loop,
-           DurationUs delay,
-           const std::weak_ptr<int>& alive,
-           std::function<void()> task) {
+void RunAfter(Loop* loop,
+              DurationUs delay,
+              const std::weak_ptr<int>& alive,
+              std::function<void()> task) {
   loop->AfterWhile(alive, delay, std::move(task));
 }
 
-void Repeat(Loop* loop,
-            DurationUs period,
-            const std::weak_ptr<int>& alive,
-            std::function<void()> task) {
-  Later(loop, period, alive, [loop, period, alive, task = std::move(task)] {
+void RunEvery(Loop* loop,
+              DurationUs period,
+              const std::weak_ptr<int>& alive,
+              std::function<void()> task) {
+  RunAfter(loop, period, alive, [loop, period, alive, task = std::move(task)] {
     task();
-    Repeat(loop, period, alive, task);
+    RunEvery(loop, period, alive, task);
   });
 }
 
--- a/tests/soak/loopback.h
+++ b/tests/soak/loopback.h
@@ -1,4 +1,4 @@
-// What stand-ins on loopback share.
+// Helpers of the stand-ins on loopback: addresses, queries and timers.
 #ifndef ACACIACHUTE_TESTS_SOAK_LOOPBACK_H_
 #define ACACIACHUTE_TESTS_SOAK_LOOPBACK_H_
 
@@ -13,22 +13,23 @@
 
 namespace acaciachute {
 
-// An address on loopback that nobody listens on.
+// Returns a loopback address whose port is free.
 Address FreeAddress();
 
-// The value of `name` in the query of a target; empty when there is none.
+// Returns the value of `name` in the query of `target`; empty when absent.
 std::string QueryValue(const std::string& target, std::string_view name);
 
-// Timers that end with their owner: the loop is the process's only one, so a
-// timer that is left over would run in a later test.
-void Later(Loop* loop,
-           DurationUs delay,
-           const std::weak_ptr<int>& alive,
-           std::function<void()> task);
-void Repeat(Loop* loop,
-            DurationUs period,
-            const std::weak_ptr<int>& alive,
-            std::function<void()> task);
+// Run `task` once after `delay`, or every `period`, while the owner of `alive`
+// exists. All tests of a process share one loop, so a timer that outlived its
+// owner would run in a later test.
+void RunAfter(Loop* loop,
+              DurationUs delay,
+              const std::weak_ptr<int>& alive,
+              std::function<void()> task);
+void RunEvery(Loop* loop,
+              DurationUs period,
+              const std::weak_ptr<int>& alive,
+              std::function<void()> task);
 
 }  // namespace acaciachute
 
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -13,16 +13,20 @@
 namespace acaciachute {
 namespace {
 
-constexpr DurationUs kBeat = 5 * kMillisecond;
-// Faults come this often and so overlap: most last for a second or two.
-constexpr DurationUs kLeastPause = 300 * kMillisecond;
-constexpr DurationUs kMostPause = 1500 * kMillisecond;
-constexpr DurationUs kRestart = 400 * kMillisecond;
-// What a gateway may take to be ready again once all faults are over.
-constexpr DurationUs kRecovery = 12 * kSecond;
-// Share of the requests after the recovery that must be answered.
-constexpr double kServedAfter = 0.9;
-constexpr int kRequestsAfter = 60;
+// Period of the timers that send due requests and restart ended gateways.
+constexpr DurationUs kTimerPeriod = 5 * kMillisecond;
+// Bounds of the random interval between two faults. Most faults last for one or
+// two seconds, so they overlap.
+constexpr DurationUs kMinFaultInterval = 300 * kMillisecond;
+constexpr DurationUs kMaxFaultInterval = 1500 * kMillisecond;
+// Delay until an ended gateway is restarted.
+constexpr DurationUs kRestartDelay = 400 * kMillisecond;
+// Limit on the time until a gateway is ready again after all faults have ended.
+constexpr DurationUs kRecoveryTimeout = 12 * kSecond;
+// Minimum share of the requests after the recovery that must be answered with
+// 200.
+constexpr double kMinServedShare = 0.9;
+constexpr int kRequestsAfterFaults = 60;
 
 constexpr std::array<std::string_view, 4> kRoutes = {"unsafe", "safe", "staged",
                                                      "resumed"};
@@ -33,31 +37,33 @@
       : loop_(loop),
         options_(options),
         random_(options.seed),
-        sends_random_(~options.seed),
+        request_random_(~options.seed),
         world_(loop, options.world) {}
 
   SoakReport Run() {
     if (!world_.Start()) {
-      report_.broken.push_back("a gateway was not ready in time");
+      report_.violations.push_back(
+          "a gateway was not ready within 10 s of its start");
       return report_;
     }
     start_ = Loop::Now();
-    sends_ = true;
-    Repeat(loop_, kBeat, alive_, [this] { SendDue(); });
-    Repeat(loop_, kBeat, alive_, [this] { RestartEnded(); });
-    DrawNext();
-    world_.WaitFor(options_.time, [] { return false; });
-    faults_ = false;
-    sends_ = false;
-    Heal();
+    sending_ = true;
+    RunEvery(loop_, kTimerPeriod, alive_, [this] { SendDue(); });
+    RunEvery(loop_, kTimerPeriod, alive_, [this] { RestartEnded(); });
+    ScheduleNextFault();
+    world_.WaitFor(options_.fault_time, [] { return false; });
+    injecting_ = false;
+    sending_ = false;
+    EndAllFaults();
     CheckRecovery();
-    world_.WaitFor(kRecovery, [this] { return world_.ledger()->open() == 0; });
-    for (const auto& it : world_.ledger()->Broken()) {
-      report_.broken.push_back(it);
+    world_.WaitFor(kRecoveryTimeout,
+                   [this] { return world_.ledger()->open() == 0; });
+    for (const auto& it : world_.ledger()->Violations()) {
+      report_.violations.push_back(it);
     }
     if (world_.ledger()->open() > 0) {
-      report_.broken.push_back(
-          StrCat(world_.ledger()->open(), " attempts never ended"));
+      report_.violations.push_back(
+          StrCat(world_.ledger()->open(), " attempts did not end"));
     }
     Summarize();
     return report_;
@@ -67,7 +73,7 @@
   using Fault = void (Soak::*)();
   struct NamedFault {
     std::string_view name;
-    Fault play;
+    Fault inject;
   };
   static const std::array<NamedFault, 15> kFaults;
 
@@ -79,33 +85,34 @@
                        random_.Below(static_cast<std::uint64_t>(most - least)));
   }
   void After(DurationUs delay, std::function<void()> task) {
-    Later(loop_, delay, alive_, std::move(task));
+    RunAfter(loop_, delay, alive_, std::move(task));
   }
-  void AfterAWhile(std::function<void()> task) {
+  void AfterFaultDuration(std::function<void()> task) {
     After(DrawTime(500 * kMillisecond, 3 * kSecond), std::move(task));
   }
 
   void SendDue() {
-    if (!sends_) {
+    if (!sending_) {
       return;
     }
-    due_ += static_cast<double>(options_.rate) * static_cast<double>(kBeat) /
-            static_cast<double>(kSecond);
-    for (; due_ >= 1; --due_) {
+    due_requests_ += static_cast<double>(options_.rate) *
+                     static_cast<double>(kTimerPeriod) /
+                     static_cast<double>(kSecond);
+    for (; due_requests_ >= 1; --due_requests_) {
       const auto pick = [this](std::size_t n) {
-        return static_cast<std::size_t>(sends_random_.Below(n));
+        return static_cast<std::size_t>(request_random_.Below(n));
       };
       const std::size_t route = pick(kRoutes.size());
       world_.Send(std::string(kRoutes[route]), pick(world_.gateways().size()));
     }
   }
 
-  // As the platform does with a process that has ended.
+  // Restarts gateways that have ended, as the platform does.
   void RestartEnded() {
     for (auto& it : world_.gateways()) {
       if (it->Ended() && !restarting_[it.get()]) {
         restarting_[it.get()] = true;
-        After(kRestart, [this, gateway = it.get()] {
+        After(kRestartDelay, [this, gateway = it.get()] {
           restarting_[gateway] = false;
           gateway->Start();
         });
@@ -113,71 +120,78 @@
     }
   }
 
-  void DrawNext() {
-    After(DrawTime(kLeastPause, kMostPause), [this] {
-      if (!faults_) {
+  // Injects a random fault after a random interval, and so on until the end of
+  // the fault time.
+  void ScheduleNextFault() {
+    After(DrawTime(kMinFaultInterval, kMaxFaultInterval), [this] {
+      if (!injecting_) {
         return;
       }
       const NamedFault& fault = kFaults[Draw(kFaults.size())];
       report_.faults.push_back(
           StrCat((Loop::Now() - start_) / kMillisecond, " ms ", fault.name));
-      (this->*fault.play)();
-      DrawNext();
+      (this->*fault.inject)();
+      ScheduleNextFault();
     });
   }
 
-  GatewayProcess* AnyGateway() {
+  GatewayProcess* DrawGateway() {
     return world_.gateways()[Draw(world_.gateways().size())].get();
   }
-  StandinReplica* AnyReplica() {
+  StandinReplica* DrawReplica() {
     return world_.replicas()[Draw(world_.replicas().size())].get();
   }
 
-  void Kill() { AnyGateway()->Signal(SIGKILL); }
-  void Terminate() { AnyGateway()->Signal(SIGTERM); }
-  void Reload() { AnyGateway()->Signal(SIGHUP); }
+  void Kill() { DrawGateway()->Signal(SIGKILL); }
+  void Terminate() { DrawGateway()->Signal(SIGTERM); }
+  void Reload() { DrawGateway()->Signal(SIGHUP); }
   void Freeze() {
-    GatewayProcess* gateway = AnyGateway();
+    GatewayProcess* gateway = DrawGateway();
     gateway->Signal(SIGSTOP);
-    AfterAWhile([gateway] { gateway->Signal(SIGCONT); });
+    AfterFaultDuration([gateway] { gateway->Signal(SIGCONT); });
   }
   void KillAll() {
     for (auto& it : world_.gateways()) {
       it->Signal(SIGKILL);
     }
   }
-  void MoodFor(StandinStore::Mood mood) {
-    world_.store()->SetMood(mood);
-    AfterAWhile(
-        [this] { world_.store()->SetMood(StandinStore::Mood::kServing); });
+  // Sets a fault of the store and ends it after a random time.
+  void SetStoreFault(StandinStore::FaultMode fault_mode) {
+    world_.store()->SetFaultMode(fault_mode);
+    AfterFaultDuration([this] {
+      world_.store()->SetFaultMode(StandinStore::FaultMode::kServing);
+    });
+  }
+  void MakeStoreBusy() { SetStoreFault(StandinStore::FaultMode::kBusy); }
+  void MakeStoreReset() { SetStoreFault(StandinStore::FaultMode::kResetting); }
+  void MakeStoreUnresponsive() {
+    SetStoreFault(StandinStore::FaultMode::kUnresponsive);
   }
-  void StoreBusy() { MoodFor(StandinStore::Mood::kBusy); }
-  void StoreResets() { MoodFor(StandinStore::Mood::kResetting); }
-  void StoreSilent() { MoodFor(StandinStore::Mood::kSilent); }
-  // One gateway's link to the store, while the others keep theirs.
-  void CutFromStore() {
+  // Cuts the link of one gateway to the store; the others stay connected.
+  void CutStoreLink() {
     Relay* link = world_.store_links()[Draw(options_.world.gateways)].get();
     link->Cut();
-    AfterAWhile([link] { link->Restore(); });
+    AfterFaultDuration([link] { link->Restore(); });
   }
-  void SilenceStore() {
+  void FreezeStoreLink() {
     Relay* link = world_.store_links()[Draw(options_.world.gateways)].get();
     link->Freeze();
-    AfterAWhile([link] { link->Restore(); });
+    AfterFaultDuration([link] { link->Restore(); });
   }
-  void StoreForgets() { world_.store()->DropHistory(); }
+  void DropStoreHistory() { world_.store()->DropHistory(); }
   void ChangeConfig() { world_.WriteConfig(); }
   void CrashReplica() { world_.CrashReplica(Draw(world_.replicas().size())); }
-  void LoseAnswers() { AnyReplica()->LoseNextAnswers(3); }
+  void LoseAnswers() { DrawReplica()->LoseNextAnswers(3); }
   void SlowReplica() {
-    StandinReplica* replica = AnyReplica();
+    StandinReplica* replica = DrawReplica();
     replica->SetSlowness(6);
-    AfterAWhile([replica] { replica->SetSlowness(1); });
+    AfterFaultDuration([replica] { replica->SetSlowness(1); });
   }
 
-  // Ends what still lasts, so that what follows is the system's own doing.
-  void Heal() {
-    world_.store()->SetMood(StandinStore::Mood::kServing);
+  // Ends all faults that still last, so that failures after it are faults of
+  // the system itself.
+  void EndAllFaults() {
+    world_.store()->SetFaultMode(StandinStore::FaultMode::kServing);
     for (auto& it : world_.gateways()) {
       it->Signal(SIGCONT);
     }
@@ -193,23 +207,26 @@
   void CheckRecovery() {
     constexpr int kOk = 200;
     for (std::size_t n = 0; n < world_.gateways().size(); ++n) {
-      if (!world_.WaitFor(kRecovery, [&] {
+      if (!world_.WaitFor(kRecoveryTimeout, [&] {
             return !world_.gateways()[n]->Ended() &&
                    world_.ReadinessStatus(n) == kOk;
           })) {
-        report_.broken.push_back(StrCat("gateway ", n, " is not ready again"));
+        report_.violations.push_back(
+            StrCat("gateway ", n, " did not become ready after the faults"));
         return;
       }
     }
-    // Replicas that are shunned for earlier failures come back by probes.
+    // Replicas that gateways avoid because of earlier failures become usable
+    // again through probe requests.
     world_.WaitFor(3 * kSecond, [] { return false; });
     const auto before = world_.ledger()->Outcomes();
-    for (int k = 0; k < kRequestsAfter; ++k) {
+    for (int k = 0; k < kRequestsAfterFaults; ++k) {
       world_.Send(std::string(kRoutes[static_cast<std::size_t>(k) % 4]),
                   static_cast<std::size_t>(k) % world_.gateways().size());
       world_.WaitFor(20 * kMillisecond, [] { return false; });
     }
-    world_.WaitFor(kRecovery, [this] { return world_.ledger()->open() == 0; });
+    world_.WaitFor(kRecoveryTimeout,
+                   [this] { return world_.ledger()->open() == 0; });
     int served = 0;
     for (auto [route, ends] : world_.ledger()->Outcomes()) {
       served += ends["200"];
@@ -218,9 +235,10 @@
         served -= ok == it->second.end() ? 0 : ok->second;
       }
     }
-    if (served < kServedAfter * kRequestsAfter) {
-      report_.broken.push_back(StrCat("serves ", served, " of ", kRequestsAfter,
-                                      " after the faults"));
+    if (served < kMinServedShare * kRequestsAfterFaults) {
+      report_.violations.push_back(StrCat("answered ", served, " of ",
+                                          kRequestsAfterFaults,
+                                          " requests after the faults"));
     }
   }
 
@@ -235,14 +253,15 @@
 
   Loop* const loop_;
   const SoakOptions options_;
-  Random random_;        // Draws faults alone, so that a seed repeats them.
-  Random sends_random_;  // Draws requests.
+  Random random_;          // For faults only, so that a seed repeats them.
+  Random request_random_;  // For requests.
   World world_;
   SoakReport report_;
   TimeUs start_ = 0;
-  double due_ = 0;
-  bool sends_ = false;
-  bool faults_ = true;
+  double due_requests_ =
+      0;  // Requests to send, with the fraction carried over.
+  bool sending_ = false;
+  bool injecting_ = true;
   std::map<GatewayProcess*, bool> restarting_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>();
 };
@@ -253,13 +272,13 @@
     {"reload a gateway", &Soak::Reload},
     {"freeze a gateway", &Soak::Freeze},
     {"kill all gateways", &Soak::KillAll},
-    {"the store is busy", &Soak::StoreBusy},
-    {"the store resets connections", &Soak::StoreResets},
-    {"the store is silent", &Soak::StoreSilent},
-    {"a gateway is cut from the store", &Soak::CutFromStore},
-    {"a gateway's link to the store falls silent", &Soak::SilenceStore},
-    {"the store forgets its history", &Soak::StoreForgets},
-    {"a new configuration", &Soak::ChangeConfig},
+    {"the store is busy", &Soak::MakeStoreBusy},
+    {"the store resets connections", &Soak::MakeStoreReset},
+    {"the store does not answer", &Soak::MakeStoreUnresponsive},
+    {"a gateway's link to the store is cut", &Soak::CutStoreLink},
+    {"a gateway's link to the store is frozen", &Soak::FreezeStoreLink},
+    {"the store drops its change history", &Soak::DropStoreHistory},
+    {"the configuration changes", &Soak::ChangeConfig},
     {"a replica crashes", &Soak::CrashReplica},
     {"a replica loses answers", &Soak::LoseAnswers},
     {"a replica is slow", &Soak::SlowReplica},
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,4 +1,5 @@
-// Draws faults from a seed and plays them on a world of real gateways.
+// Runs a soak: injects random faults, drawn from a seed, into a deployment of
+// real gateway processes, and checks the guarantees to clients.
 #ifndef ACACIACHUTE_TESTS_SOAK_SOAK_H_
 #define ACACIACHUTE_TESTS_SOAK_SOAK_H_
 
@@ -13,15 +14,16 @@
 
 struct SoakOptions {
   std::uint64_t seed = 1;
-  DurationUs time = 12 * kSecond;  // Of faults; a calm end follows.
-  int rate = 40;                   // Requests a second.
+  DurationUs fault_time =
+      12 * kSecond;  // Time during which faults are injected.
+  int rate = 40;     // Requests per second.
   WorldOptions world;
 };
 
 struct SoakReport {
-  std::string summary;              // How attempts ended, by route.
-  std::vector<std::string> faults;  // In order, with their times.
-  std::vector<std::string> broken;  // Promises; empty when all held.
+  std::string summary;              // Counts of attempts by route and outcome.
+  std::vector<std::string> faults;  // Injected faults in order, with times.
+  std::vector<std::string> violations;  // Violated guarantees; empty: success.
 };
 
 SoakReport RunSoak(Loop* loop, const SoakOptions& options);
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -1,5 +1,5 @@
-// A randomized soak: real gateways, with faults from outside them, drawn from a
-// seed. Ends with one line for each promise that was broken.
+// Runs soaks of real gateway processes with random external faults, one for
+// each seed. Prints one line for each violated guarantee.
 #include <csignal>
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -14,16 +14,19 @@
 namespace {
 
 int Main(int argc, char** argv) {
-  cxxopts::Options options("soak", "Real gateways under drawn faults");
+  cxxopts::Options options(
+      "soak", "Injects random faults into real gateways and checks guarantees");
   options.add_options()("seed", "first seed",
                         cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "seeds", "how many, one after the other",
+      "seeds", "number of seeds, run one after the other",
       cxxopts::value<int>()->default_value("1"))(
-      "seconds", "of faults, each seed",
+      "seconds", "time of fault injection per seed",
       cxxopts::value<int>()->default_value("12"))(
-      "gateways", "processes", cxxopts::value<int>()->default_value("3"))(
-      "rate", "requests a second", cxxopts::value<int>()->default_value("40"))(
-      "logs", "folder for the gateways' logs",
+      "gateways", "number of gateway processes",
+      cxxopts::value<int>()->default_value("3"))(
+      "rate", "requests per second",
+      cxxopts::value<int>()->default_value("40"))(
+      "logs", "folder for the gateways' logs; empty: no logs",
       cxxopts::value<std::string>()->default_value(""))("help", "show this");
   const auto parsed = options.parse(argc, argv);
   if (parsed.count("help") > 0) {
@@ -37,7 +40,7 @@
   for (int n = 0; n < parsed["seeds"].as<int>(); ++n) {
     SoakOptions soak;
     soak.seed = first + static_cast<std::uint64_t>(n);
-    soak.time = parsed["seconds"].as<int>() * kSecond;
+    soak.fault_time = parsed["seconds"].as<int>() * kSecond;
     soak.rate = parsed["rate"].as<int>();
     soak.world.gateways = parsed["gateways"].as<int>();
     soak.world.log_folder = parsed["logs"].as<std::string>();
@@ -47,13 +50,13 @@
     for (const auto& it : report.faults) {
       std::printf("  fault %s\n", it.c_str());
     }
-    for (const auto& it : report.broken) {
+    for (const auto& it : report.violations) {
       std::printf("  BROKEN %s\n", it.c_str());
     }
     std::fflush(stdout);
-    failed += report.broken.empty() ? 0 : 1;
+    failed += report.violations.empty() ? 0 : 1;
   }
-  std::printf("%d of %d seeds broke a promise\n", failed,
+  std::printf("%d of %d seeds violated a guarantee\n", failed,
               parsed["seeds"].as<int>());
   return failed == 0 ? 0 : 1;
 }
--- a/tests/soak/standin_replica.cc
+++ b/tests/soak/standin_replica.cc
@@ -17,7 +17,7 @@
 constexpr int kBadRequest = 400;
 constexpr int kWrongReplica = 421;
 constexpr int kFull = 503;
-constexpr std::size_t kQueue = 2;
+constexpr std::size_t kMaxQueuedCalls = 2;
 
 std::string ValueOf(const HttpFields& fields, std::string_view name) {
   const std::string* value = FindField(fields, name);
@@ -47,12 +47,12 @@
 }
 
 void StandinReplica::After(DurationUs delay, std::function<void()> task) {
-  Later(loop_, slowness_ * delay, life_, std::move(task));
+  RunAfter(loop_, slowness_ * delay, alive_, std::move(task));
 }
 
 void StandinReplica::Crash(std::string id) {
   id_ = std::move(id);
-  life_ = std::make_shared<int>();
+  alive_ = std::make_shared<int>();
   calls_.clear();
   busy_ = false;
   for (const ExchangeId it : std::exchange(open_, {})) {
@@ -71,7 +71,7 @@
     listener_.Reply(id, kWrongReplica, NotRun(attempt), "");
   } else if (head.target == "/stage-free") {
     listener_.Reply(id, kOk, {}, "");
-  } else if (head.target == "/stage-run" && calls_.size() >= kQueue) {
+  } else if (head.target == "/stage-run" && calls_.size() >= kMaxQueuedCalls) {
     listener_.Reply(id, kFull, NotRun(""), "");
   } else if (head.target == "/stage-run") {
     calls_.push_back({id, std::move(body)});
@@ -89,24 +89,25 @@
     return;
   }
   if (FindField(head.fields, "Authorization") != nullptr) {
-    ledger_->OnBroken("a key was passed on", attempt);
+    ledger_->OnViolation("a client's Authorization field was forwarded",
+                         attempt);
   }
   ledger_->OnRun(attempt, ValueOf(head.fields, "Tenant"));
-  if (lose_ > 0) {
-    --lose_;
-    After(work_.time, [this, id] { listener_.Break(id); });
+  if (answers_to_lose_ > 0) {
+    --answers_to_lose_;
+    After(work_.service_time, [this, id] { listener_.Break(id); });
     return;
   }
   if (work_.kind == ReplicaWork::Kind::kPlain) {
-    After(work_.time, [this, id, attempt] {
+    After(work_.service_time, [this, id, attempt] {
       listener_.Reply(id, kOk, {{"Attempt-Id", attempt}, {"Replica-Seal", id_}},
                       StrCat("answer to ", attempt));
     });
     return;
   }
   const auto last = ParseNumber<int>(ValueOf(head.fields, "Last-Event-Id"));
-  const int next = last ? *last + 1 : 0;  // A resumed stream goes on.
-  After(work_.time, [this, id, attempt, next] {
+  const int next = last ? *last + 1 : 0;  // Continues a resumed stream.
+  After(work_.service_time, [this, id, attempt, next] {
     if (open_.contains(id)) {
       listener_.BeginStream(id, kOk,
                             {{"Attempt-Id", attempt},
@@ -129,7 +130,7 @@
   }
   listener_.StreamData(id, StrCat("id: ", next, "\ndata: ", attempt, " ",
                                   std::string(50, 't'), "\n\n"));
-  After(work_.pause,
+  After(work_.event_interval,
         [this, id, attempt, next] { SendEvent(id, attempt, next + 1); });
 }
 
@@ -140,7 +141,7 @@
   busy_ = true;
   const StageCall call = std::move(calls_.front());
   calls_.pop_front();
-  After(work_.time, [this, call] {
+  After(work_.service_time, [this, call] {
     busy_ = false;
     EndStageCall(call);
     BeginStageCall();
@@ -152,7 +153,7 @@
   const Json asked = Json::parse(call.body);
   for (const Json& it : asked.at("items")) {
     if (!it.contains("key") && !it.contains("inputs")) {
-      ledger_->OnBroken("a piece without inputs", it.at("id"));
+      ledger_->OnViolation("a piece was sent without its inputs", it.at("id"));
     }
     const std::string handle =
         StrCat(AddressText(address_), "/", ++next_result_);
--- a/tests/soak/standin_replica.h
+++ b/tests/soak/standin_replica.h
@@ -1,4 +1,5 @@
-// Plays one replica: a plain service, a service of stages, or a model engine.
+// Stand-in for one replica of a plain service, of a pipeline stage or of a
+// model engine.
 #ifndef ACACIACHUTE_TESTS_SOAK_STANDIN_REPLICA_H_
 #define ACACIACHUTE_TESTS_SOAK_STANDIN_REPLICA_H_
 
@@ -15,13 +16,14 @@
 
 namespace acaciachute {
 
-// How a kind of replica works.
+// Kind of a replica and its timing.
 struct ReplicaWork {
   enum class Kind { kPlain, kStage, kEngine };
   Kind kind = Kind::kPlain;
-  DurationUs time = 0;   // Of an answer, a call, or until the first event.
-  DurationUs pause = 0;  // Between events.
-  int events = 0;
+  DurationUs service_time =
+      0;  // Per answer or call; engine: until the first event.
+  DurationUs event_interval = 0;  // Interval between events of a stream.
+  int events = 0;                 // Per stream.
 };
 
 class StandinReplica : public ListenerHandler {
@@ -31,11 +33,12 @@
                  const ReplicaWork& work,
                  Ledger* ledger);
 
-  // Faults: an answer that is lost after the run, and slow work.
-  void LoseNextAnswers(int n) { lose_ = n; }
+  // Sets faults: the next `n` answers are lost after their runs; all work takes
+  // `factor` times as long.
+  void LoseNextAnswers(int n) { answers_to_lose_ = n; }
   void SetSlowness(int factor) { slowness_ = factor; }
-  // A crash: every connection breaks, what it had is forgotten, and `id` is its
-  // next life.
+  // Simulates a crash and restart: breaks every connection, drops all work, and
+  // continues as the incarnation `id`.
   void Crash(std::string id);
   const std::string& id() const { return id_; }
   const Address& address() const { return address_; }
@@ -69,10 +72,10 @@
   std::set<ExchangeId> open_;
   std::deque<StageCall> calls_;
   int next_result_ = 0;
-  int lose_ = 0;
+  int answers_to_lose_ = 0;
   int slowness_ = 1;
   bool busy_ = false;
-  std::shared_ptr<int> life_ = std::make_shared<int>();
+  std::shared_ptr<int> alive_ = std::make_shared<int>();
 };
 
 }  // namespace acaciachute
--- a/tests/soak/standin_store.cc
+++ b/tests/soak/standin_store.cc
@@ -13,11 +13,11 @@
 
 constexpr int kOk = 200;
 constexpr int kConditionFailed = 412;
-constexpr int kHistoryGone = 410;
+constexpr int kHistoryDropped = 410;
 constexpr int kBusy = 503;
-constexpr DurationUs kFeedCheck = 20 * kMillisecond;
+constexpr DurationUs kFeedCheckPeriod = 20 * kMillisecond;
 
-std::uint64_t NumberIn(const std::string& target, std::string_view name) {
+std::uint64_t QueryNumber(const std::string& target, std::string_view name) {
   return ParseNumber<std::uint64_t>(QueryValue(target, name)).value_or(0);
 }
 
@@ -26,15 +26,15 @@
 StandinStore::StandinStore(Loop* loop)
     : loop_(loop), address_(FreeAddress()), listener_(this, loop) {
   PCHECK(listener_.Listen(address_).ok());
-  Repeat(loop_, kFeedCheck, alive_, [this] { AnswerFeeds(); });
+  RunEvery(loop_, kFeedCheckPeriod, alive_, [this] { AnswerFeeds(); });
 }
 
 void StandinStore::Put(const std::string& table,
                        const std::string& key,
                        const Json& value) {
-  std::string coded;
-  absl::Base64Escape(value.dump(), &coded);
-  Write({table, key}, std::move(coded), false);
+  std::string encoded;
+  absl::Base64Escape(value.dump(), &encoded);
+  Write({table, key}, std::move(encoded), false);
 }
 
 void StandinStore::Remove(const std::string& table, const std::string& key) {
@@ -42,12 +42,12 @@
 }
 
 void StandinStore::DropHistory() {
-  oldest_ = version_;
+  dropped_version_ = version_;
 }
 
 void StandinStore::Write(const Key& key, std::string value, bool removed) {
   rows_[key] = {std::move(value), ++version_, removed};
-  if (mood_ == Mood::kServing) {
+  if (fault_mode_ == FaultMode::kServing) {
     AnswerFeeds();
   }
 }
@@ -55,19 +55,19 @@
 void StandinStore::OnRequest(ExchangeId id,
                              HttpRequestHead head,
                              std::string body) {
-  if (mood_ == Mood::kBusy) {
+  if (fault_mode_ == FaultMode::kBusy) {
     Answer(id, kBusy, Json::array());
-  } else if (mood_ == Mood::kResetting) {
+  } else if (fault_mode_ == FaultMode::kResetting) {
     listener_.Break(id);
-  } else if (mood_ == Mood::kSilent) {
+  } else if (fault_mode_ == FaultMode::kUnresponsive) {
     return;
   } else if (head.target.starts_with("/rows-tx")) {
     AnswerTransaction(id, body);
   } else if (head.target.starts_with("/rows-feed")) {
     feeds_[id] = {
-        QueryValue(head.target, "table"), NumberIn(head.target, "after"),
+        QueryValue(head.target, "table"), QueryNumber(head.target, "after"),
         Loop::Now() +
-            static_cast<DurationUs>(NumberIn(head.target, "wait_ms")) *
+            static_cast<DurationUs>(QueryNumber(head.target, "wait_ms")) *
                 kMillisecond};
     AnswerFeeds();
   } else {
@@ -99,7 +99,7 @@
   for (const Json& it : call.value("writes", Json::array())) {
     Write({it.at("table"), it.at("key")}, it.at("value"), false);
   }
-  if (mood_ == Mood::kLosing) {
+  if (fault_mode_ == FaultMode::kLosingAnswers) {
     listener_.Break(id);
   } else {
     Answer(id, kOk, Json::array());
@@ -107,7 +107,8 @@
 }
 
 void StandinStore::AnswerFeeds() {
-  if (mood_ != Mood::kServing && mood_ != Mood::kLosing) {
+  if (fault_mode_ != FaultMode::kServing &&
+      fault_mode_ != FaultMode::kLosingAnswers) {
     return;
   }
   const TimeUs now = Loop::Now();
@@ -117,9 +118,9 @@
   }
   for (const ExchangeId id : due) {
     const Feed feed = feeds_.at(id);
-    if (feed.after < oldest_) {
+    if (feed.after < dropped_version_) {
       feeds_.erase(id);
-      Answer(id, kHistoryGone, Json::array());
+      Answer(id, kHistoryDropped, Json::array());
       continue;
     }
     Json rows = Json::array();
--- a/tests/soak/standin_store.h
+++ b/tests/soak/standin_store.h
@@ -1,5 +1,5 @@
-// Plays the platform's store: rows in tables, transactions, and feeds of what
-// changed, with the outages that a test orders.
+// Stand-in for the platform's store: rows in tables, transactions and change
+// feeds, with faults that a test sets.
 #ifndef ACACIACHUTE_TESTS_SOAK_STANDIN_STORE_H_
 #define ACACIACHUTE_TESTS_SOAK_STANDIN_STORE_H_
 
@@ -19,24 +19,27 @@
 
 class StandinStore : public ListenerHandler {
  public:
-  enum class Mood {
+  // Current fault of the store.
+  enum class FaultMode {
     kServing,
-    kBusy,       // 503: nothing was done.
-    kResetting,  // Connections break.
-    kSilent,     // Nothing is answered.
-    kLosing,     // Done, and its answer is lost.
+    kBusy,           // Answers 503 without any effect.
+    kResetting,      // Breaks connections without any effect.
+    kUnresponsive,   // Does not answer.
+    kLosingAnswers,  // Applies transactions but loses their answers.
   };
 
   explicit StandinStore(Loop* loop);
 
-  // Writes as the operator or a replica does, whatever the mood.
+  // Write rows as the operator or a replica does. They succeed during any
+  // fault.
   void Put(const std::string& table,
            const std::string& key,
            const nlohmann::json& value);
   void Remove(const std::string& table, const std::string& key);
-  // Forgets what changed, so that feeds have to begin again.
+  // Drops the change history, so that open feeds fail with 410 and readers have
+  // to read the whole table again.
   void DropHistory();
-  void SetMood(Mood mood) { mood_ = mood; }
+  void SetFaultMode(FaultMode fault_mode) { fault_mode_ = fault_mode; }
   const Address& address() const { return address_; }
 
   // ListenerHandler:
@@ -49,10 +52,12 @@
 
  private:
   struct Row {
-    std::string value;  // As written on the wire.
+    std::string value;  // In Base64, as on the wire.
     std::uint64_t version = 0;
     bool removed = false;
   };
+  // A request for the changes of a table after a version; it is held open until
+  // there are some or its wait time is over.
   struct Feed {
     std::string table;
     std::uint64_t after = 0;
@@ -63,7 +68,8 @@
   void Write(const Key& key, std::string value, bool removed);
   void AnswerRows(ExchangeId id, const std::string& table);
   void AnswerTransaction(ExchangeId id, const std::string& body);
-  // Answers the feeds that have news or whose time is over.
+  // Answers the feeds that have changes to report, whose wait time is over, or
+  // whose history was dropped.
   void AnswerFeeds();
   nlohmann::json RowJson(const Key& key, const Row& row) const;
   void Answer(ExchangeId id, int status, nlohmann::json rows);
@@ -71,9 +77,10 @@
   Loop* const loop_;
   const Address address_;
   HttpListener listener_;
-  Mood mood_ = Mood::kServing;
+  FaultMode fault_mode_ = FaultMode::kServing;
   std::uint64_t version_ = 0;
-  std::uint64_t oldest_ = 0;  // Changes before it are forgotten.
+  std::uint64_t dropped_version_ =
+      0;  // Changes up to this version were dropped.
   std::map<Key, Row> rows_;
   std::map<ExchangeId, Feed> feeds_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>();
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -14,7 +14,7 @@
 
 constexpr int kOk = 200;
 constexpr char kAccount[] = "acme";
-constexpr char kKey[] = "key-of-acme";
+constexpr char kApiKey[] = "key-of-acme";
 constexpr int kPieces = 4;
 constexpr int kDeadlineMs = 6000;
 
@@ -38,16 +38,17 @@
           {{"service", "second"}, {"after", {0}}, {"bytes", 60000}}};
 }
 
-Json Batches() {
+Json BatchLimits() {
   return {{"slots", 1},       {"queue", 2},         {"batch", 20},
           {"call_ms", 240.0}, {"item_ms", 5.0},     {"room_mb", 20.0},
           {"handle_s", 4.0},  {"link_mbps", 1000.0}};
 }
 
-// The ids of a stream's events, in order; an event of another attempt shows.
-bool IsWholeStream(const std::string& body,
-                   const std::string& attempt,
-                   int events) {
+// Whether `body` is the complete stream of `attempt`: all events in order, each
+// with the id of its attempt.
+bool IsCompleteStream(const std::string& body,
+                      const std::string& attempt,
+                      int events) {
   int next = 0;
   std::size_t at = 0;
   while (at < body.size()) {
@@ -67,7 +68,7 @@
 
 }  // namespace
 
-// Hears the answer to one attempt.
+// Receives and checks the answer to one attempt.
 class World::Client : public CallSink {
  public:
   Client(World* world, std::string id, bool stream)
@@ -77,19 +78,20 @@
     status_ = head.status;
     const std::string* id = FindField(head.fields, "Attempt-Id");
     if (status_ == kOk && (id == nullptr || *id != id_)) {
-      world_->ledger_.OnBroken("is given another's answer", id_);
+      world_->ledger_.OnViolation("got an answer with a wrong Attempt-Id", id_);
     }
     if (status_ == kOk && FindField(head.fields, "Replica-Seal") == nullptr) {
-      world_->ledger_.OnBroken("is given a success without a proof", id_);
+      world_->ledger_.OnViolation("got a 200 without a Replica-Seal", id_);
     }
   }
   void OnAnswerBody(CallId, std::string_view bytes) override { body_ += bytes; }
   void OnAnswerEnd(CallId call) override {
-    const bool right = stream_
-                           ? IsWholeStream(body_, id_, world_->options_.events)
-                           : body_ == StrCat("answer to ", id_);
+    const bool right =
+        stream_ ? IsCompleteStream(body_, id_, world_->options_.events)
+                : body_ == StrCat("answer to ", id_);
     if (status_ == kOk && !right) {
-      world_->ledger_.OnBroken("is given a wrong body as whole", id_);
+      world_->ledger_.OnViolation("got a 200 with a wrong or incomplete body",
+                                  id_);
     }
     End(call, status_, true);
   }
@@ -99,8 +101,8 @@
 
  private:
   void End(CallId call, int status, bool whole) {
-    world_->ledger_.OnOver(Loop::Now(), id_, status, whole);
-    world_->clients_.erase(call);  // `this` is gone.
+    world_->ledger_.OnEnded(Loop::Now(), id_, status, whole);
+    world_->clients_.erase(call);  // Deletes `this`.
   }
 
   World* const world_;
@@ -142,15 +144,15 @@
   for (int k = 0; k < n; ++k) {
     replicas_.push_back(std::make_unique<StandinReplica>(
         loop_, StrCat("i-", service, "-", k, "-1"), work, &ledger_));
-    service_of_[AddressText(replicas_.back()->address())] = service;
-    List(*replicas_.back(), false);
+    service_by_address_[AddressText(replicas_.back()->address())] = service;
+    WriteReplicaRow(*replicas_.back(), false);
   }
 }
 
-void World::List(const StandinReplica& replica, bool leaving) {
+void World::WriteReplicaRow(const StandinReplica& replica, bool leaving) {
   const std::string address = AddressText(replica.address());
   store_.Put("servers", replica.id(),
-             {{"service", service_of_.at(address)},
+             {{"service", service_by_address_.at(address)},
               {"address", address},
               {"zone", "a"},
               {"version", "v1"},
@@ -160,19 +162,19 @@
               {"state", leaving ? "draining" : "ready"}});
 }
 
-void World::Unlist(const StandinReplica& replica) {
+void World::RemoveReplicaRow(const StandinReplica& replica) {
   store_.Remove("servers", replica.id());
 }
 
 void World::CrashReplica(std::size_t n) {
   StandinReplica& replica = *replicas_[n];
-  Unlist(replica);
+  RemoveReplicaRow(replica);
   const std::string& id = replica.id();
   const auto dash = id.rfind('-');
-  const int life =
+  const int incarnation =
       ParseNumber<int>(std::string_view(id).substr(dash + 1)).value_or(0);
-  replica.Crash(StrCat(id.substr(0, dash), "-", life + 1));
-  List(replica, false);
+  replica.Crash(StrCat(id.substr(0, dash), "-", incarnation + 1));
+  WriteReplicaRow(replica, false);
 }
 
 void World::WriteConfig() {
@@ -182,8 +184,8 @@
   resumed["stages"] = Stages();
   resumed["stream_resume"] = true;
   const Json services = {{{"name", "plain"}, {"max_connections", 500}},
-                         {{"name", "first"}, {"pieces", Batches()}},
-                         {{"name", "second"}, {"pieces", Batches()}},
+                         {{"name", "first"}, {"pieces", BatchLimits()}},
+                         {{"name", "second"}, {"pieces", BatchLimits()}},
                          {{"name", "engine"},
                           {"kv_capacity_tokens", 1000000},
                           {"slots", 64},
@@ -194,7 +196,7 @@
                {RouteJson("unsafe", "unsafe", "plain"),
                 RouteJson("safe", "safe", "plain"), staged, resumed}},
               {"services", services},
-              {"tenants", {{{"name", kAccount}, {"api_keys", {kKey}}}}}});
+              {"tenants", {{{"name", kAccount}, {"api_keys", {kApiKey}}}}}});
 }
 
 bool World::Start() {
@@ -209,9 +211,9 @@
   return true;
 }
 
-bool World::WaitFor(DurationUs patience,
+bool World::WaitFor(DurationUs timeout,
                     const std::function<bool()>& condition) {
-  const TimeUs end = Loop::Now() + patience;
+  const TimeUs end = Loop::Now() + timeout;
   bool holds = condition();
   while (!holds && Loop::Now() < end) {
     loop_->After(10 * kMillisecond, [this] { loop_->Quit(); });
@@ -227,10 +229,10 @@
       status = head.status;
     }
     void OnAnswerBody(CallId, std::string_view) override {}
-    void OnAnswerEnd(CallId) override { over = true; }
-    void OnCallFailed(CallId, const CallFailure&) override { over = true; }
+    void OnAnswerEnd(CallId) override { ended = true; }
+    void OnCallFailed(CallId, const CallFailure&) override { ended = true; }
     int status = 0;
-    bool over = false;
+    bool ended = false;
   } answer;
   ChannelRequest request;
   request.target = "/readyz";
@@ -239,7 +241,7 @@
   options.total = 500 * kMillisecond;
   const CallId id = channels_.Start(gateways_[gateway]->readiness(), request,
                                     options, &answer);
-  WaitFor(kSecond, [&] { return answer.over; });
+  WaitFor(kSecond, [&] { return answer.ended; });
   channels_.Cancel(id);
   return answer.status;
 }
@@ -253,7 +255,7 @@
   request.fields = {{"Host", "h.example"},
                     {"Attempt-Id", id},
                     {"Deadline-Ms", StrCat(kDeadlineMs)},
-                    {"Authorization", StrCat("Bearer ", kKey)}};
+                    {"Authorization", StrCat("Bearer ", kApiKey)}};
   if (stream) {
     request.fields.push_back({"Model", "m"});
     request.fields.push_back({"Token-Usage", "1200,300"});
@@ -265,7 +267,7 @@
   LedgerEntry entry;
   entry.route = route;
   entry.account = kAccount;
-  entry.may_repeat = route == "safe" || route == "resumed";
+  entry.idempotent = route == "safe" || route == "resumed";
   entry.sent_at = Loop::Now();
   entry.deadline = kDeadlineMs * kMillisecond;
   ledger_.OnSent(id, entry);
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -1,5 +1,6 @@
-// A small deployment on loopback: the store, replicas of three kinds of service
-// with a pipeline of two stages, gateways as processes, and clients.
+// A small deployment on loopback: a stand-in store, stand-in replicas of a
+// plain service, of two pipeline stages and of a model engine, real gateway
+// processes, and clients.
 #ifndef ACACIACHUTE_TESTS_SOAK_WORLD_H_
 #define ACACIACHUTE_TESTS_SOAK_WORLD_H_
 
@@ -25,8 +26,8 @@
   int plain_replicas = 3;
   int stage_replicas = 3;
   int engines = 3;
-  int events = 48;         // Of a stream.
-  std::string log_folder;  // Empty: logs are dropped.
+  int events = 48;         // Per stream.
+  std::string log_folder;  // Of the gateways' logs; empty: no logs.
 };
 
 class World {
@@ -34,28 +35,29 @@
   World(Loop* loop, const WorldOptions& options);
   ~World();
 
-  // Starts all gateways; whether they were ready in time.
+  // Starts all gateways; returns false when one is not ready within 10 s.
   bool Start();
-  // Runs the loop until `condition` holds; false when it did not in time.
-  bool WaitFor(DurationUs patience, const std::function<bool()>& condition);
+  // Runs the loop until `condition` holds; returns false after the time-out.
+  bool WaitFor(DurationUs timeout, const std::function<bool()>& condition);
 
-  // One request to `route` ("unsafe", "safe", "staged" or "resumed") at a
-  // gateway. A client that repeats does so as a new attempt, which is not done
-  // here: each attempt is judged by itself.
+  // Sends one request to `route` ("unsafe", "safe", "staged" or "resumed") at a
+  // gateway. Clients do not retry: a retry would be a new attempt, and each
+  // attempt is judged separately.
   void Send(const std::string& route, std::size_t gateway);
 
-  // Changes that are written to the store as the operator and replicas do.
+  // Writes to the store: a new version of the operator's configuration, and the
+  // row of a replica as the replica itself would write it.
   void WriteConfig();
-  void List(const StandinReplica& replica, bool leaving);
-  void Unlist(const StandinReplica& replica);
-  // Ends one life of a replica and lists the next.
+  void WriteReplicaRow(const StandinReplica& replica, bool leaving);
+  void RemoveReplicaRow(const StandinReplica& replica);
+  // Crashes a replica and lists its next incarnation in the store.
   void CrashReplica(std::size_t n);
 
   StandinStore* store() { return &store_; }
   Ledger* ledger() { return &ledger_; }
   std::vector<std::unique_ptr<GatewayProcess>>& gateways() { return gateways_; }
   std::vector<std::unique_ptr<StandinReplica>>& replicas() { return replicas_; }
-  // Each gateway's own link to the store.
+  // The relay between each gateway and the store.
   std::vector<std::unique_ptr<Relay>>& store_links() { return store_links_; }
   int ReadinessStatus(std::size_t gateway);
 
@@ -69,7 +71,8 @@
   Ledger ledger_;
   StandinStore store_;
   std::vector<std::unique_ptr<StandinReplica>> replicas_;
-  std::map<std::string, std::string> service_of_;  // By address.
+  std::map<std::string, std::string>
+      service_by_address_;  // Key: replica address.
   std::vector<std::unique_ptr<Relay>> store_links_;
   std::vector<std::unique_ptr<GatewayProcess>> gateways_;
   HttpChannels channels_;
