--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for people and for CI; `make help` lists them.
+# Targets for developers and CI; `make help` lists them.
 BUILD ?= build
 JOBS ?= $(shell nproc)
 SOURCES = $(shell git ls-files '*.cc' '*.h')
@@ -10,7 +10,7 @@
 help: ## List every target
 	@grep -hE '^[a-z-]+:.*##' $(MAKEFILE_LIST) | sed -E 's/:.*## /\t/' | expand -t 16
 
-deps: ## Install what is missing (Debian 12, as root)
+deps: ## Install missing packages (Debian 12, as root)
 	@tools/install-deps
 
 build: ## Build everything into $(BUILD)
@@ -23,7 +23,7 @@
 format-check: ## Fail when a source is not formatted
 	@clang-format --dry-run -Werror $(SOURCES)
 
-layers: ## Fail when a layer includes one below it
+layers: ## Fail when a layer includes one that depends on it
 	@tools/check-layers
 
 lint: build ## Run clang-tidy over all sources
@@ -32,28 +32,28 @@
 test: build ## Run unit tests and process tests
 	@tools/run-tests $(BUILD)
 
-check: format-check layers build lint test ## Everything that CI checks
+check: format-check layers build lint test ## Run all checks of CI
 
-demo: deps build ## Run the whole path on loopback and print the answers
+demo: deps build ## Send requests through a deployment on loopback, print answers
 	@$(BUILD)/tests/demo
 
-bench: build ## Measure the decisions and the path
+bench: build ## Run the benchmarks of load decisions and of the request path
 	@$(BUILD)/bench/bench_path
 	@$(BUILD)/bench/bench_decisions
 	@$(BUILD)/bench/decision_cost
 	@$(BUILD)/bench/replica_rows
 	@$(BUILD)/bench/bench_gateway_load
 
-dissemination: build ## Measure how fast settings spread (up to 60 processes)
+dissemination: build ## Measure how fast settings spread (up to 60 entries)
 	@$(BUILD)/bench/bench_dissemination
 
-capacity: build ## Measure the slopes that docs/CAPACITY.md quotes
+capacity: build ## Measure the slopes used in docs/CAPACITY.md
 	@$(BUILD)/bench/bench_capacity 2> /dev/null
 
 SEED ?= $(shell date +%s)
 SEEDS ?= 10
-soak: build ## Play drawn faults on real gateways: SEED=1 SEEDS=50
+soak: build ## Inject random faults into real gateways: SEED=1 SEEDS=50
 	@$(BUILD)/tests/soak --seed $(SEED) --seeds $(SEEDS)
 
-clean: ## Remove the build
+clean: ## Remove the build folder
 	@rm -rf $(BUILD)
--- a/bench/decisions.cc
+++ b/bench/decisions.cc
@@ -660,7 +660,7 @@
       continue;
     }
     // A caller that resent is counted once in `sent`, and in `in_time` if any
-    // of its attempts was in time.
+    // of its submissions was answered in time.
     const auto add = [&it](Tally* tally) {
       tally->sent += it.resends == 0;
       tally->in_time += it.done;
--- a/tests/standins/platform.cc
+++ b/tests/standins/platform.cc
@@ -62,7 +62,7 @@
       return;
     }
     if (faults_.down) {
-      Reply(handle, 503, {{"error", "platform is down"}});
+      Reply(handle, 503, {{"error", "down"}});
       return;
     }
     if (faults_.delay_ms > 0) {
@@ -87,7 +87,7 @@
   void SetFaults(std::uint64_t handle, const std::string& text) {
     const Json in = Json::parse(text, nullptr, false);
     if (!in.is_object()) {
-      Reply(handle, 400, {{"error", "body is not a JSON object"}});
+      Reply(handle, 400, {{"error", "no JSON object"}});
       return;
     }
     faults_.down = in.value("down", faults_.down);
@@ -118,7 +118,7 @@
     } else if (path == "/v1/hosts") {
       Reply(handle, 200, {{"hosts", hosts_}});
     } else {
-      Reply(handle, 404, {{"error", "unknown path"}});
+      Reply(handle, 404, {{"error", "no such path"}});
     }
   }
 
@@ -133,7 +133,7 @@
     }
     const auto it = objects_.find(path);
     if (it == objects_.end()) {
-      Reply(handle, 404, {{"error", "unknown object"}});
+      Reply(handle, 404, {{"error", "no such object"}});
       return;
     }
     HttpReply reply;
--- a/tests/standins/upstream.cc
+++ b/tests/standins/upstream.cc
@@ -93,7 +93,7 @@
     } else if (head.method == "POST") {
       Accept(handle, head, body);
     } else {
-      Reply(handle, 404, {{"error", "unknown path"}});
+      Reply(handle, 404, {{"error", "no such path"}});
     }
   }
   void OnHttpGone(std::uint64_t handle) override { DropCall(handle); }
@@ -109,7 +109,7 @@
   void SetFaults(std::uint64_t handle, std::string_view body) {
     const Json in = Json::parse(body, nullptr, false);
     if (!in.is_object()) {
-      Reply(handle, 400, {{"error", "body is not a JSON object"}});
+      Reply(handle, 400, {{"error", "no JSON object"}});
       return;
     }
     config_.crash_on = in.value("crash_on", config_.crash_on);
@@ -201,14 +201,14 @@
       AnswerStream(handle, id);
       return;
     }
-    const std::string complete =
+    const std::string whole =
         Json{{"stage", config_.kind},
              {"by", config_.name},
              {"input", Json::parse(run.body, nullptr, false)}}
             .dump();
     if (fault == AnswerFault::kCut) {
       server_.SetHeader(handle, "X-Request-Id", id);
-      server_.StreamPart(handle, complete.substr(0, complete.size() / 2));
+      server_.StreamPart(handle, whole.substr(0, whole.size() / 2));
       // Drops the connection only after the part has been sent; dropped at
       // once, it would send nothing.
       loop_->After(kMillisecond, [this, handle] { server_.Drop(handle); });
@@ -216,9 +216,9 @@
     }
     HttpReply reply;
     reply.headers.emplace_back("X-Request-Id", id);
-    reply.body = fault == AnswerFault::kDoubled  ? complete + complete
+    reply.body = fault == AnswerFault::kDoubled  ? whole + whole
                  : fault == AnswerFault::kNoJson ? "no JSON"
-                                                 : complete;
+                                                 : whole;
     server_.Reply(handle, reply);
   }
 
@@ -240,7 +240,7 @@
   void ExecuteOrder(std::uint64_t handle, std::string_view body) {
     const Json order = Json::parse(body, nullptr, false);
     if (!order.is_object()) {
-      Reply(handle, 400, {{"error", "body is not a JSON object"}});
+      Reply(handle, 400, {{"error", "no JSON object"}});
       return;
     }
     const auto number = order.value("fence", std::uint64_t{0});
