--- a/bench/capacity.cc
+++ b/bench/capacity.cc
@@ -176,7 +176,7 @@
                 core.entry.InProgress());
   }
   PrintSlope("entry memory by requests in progress (B)", "B/request", memory);
-  PrintSlope("core time to take them (us)", "us/request", time);
+  PrintSlope("core time to admit requests (us)", "us/request", time);
 }
 
 void MeasureFrames() {
--- a/bench/decisions.cc
+++ b/bench/decisions.cc
@@ -43,13 +43,12 @@
 constexpr std::array<int, kAccounts> kAccountShares = {8, 6, 4, 1, 1};
 constexpr int kHotAccount = 2;
 constexpr double kUrgentShare = 0.3;
-constexpr double kNonIdempotentShare =
-    0.2;  // Share of non-idempotent requests.
-constexpr DurationUs kStoreTime = 3 * kMillisecond;
+constexpr double kNonIdempotentShare = 0.2;
+constexpr DurationUs kStoreLatency = 3 * kMillisecond;  // Per transaction.
 // Deadlines by caller class, urgent first.
 constexpr std::array<DurationUs, 2> kDeadlines = {3 * kSecond, 8 * kSecond};
 constexpr double kLongFactor = 5;  // Work of a long request.
-constexpr int kMaxResends = 2;
+constexpr int kMaxResends = 2;     // Per request.
 
 double BatchFactor(std::size_t batch) {
   return 1 + kBatchSlope * static_cast<double>(batch - 1);
@@ -65,10 +64,10 @@
   TimeUs sent = 0;
   TimeUs first_sent = 0;  // Earlier than `sent` if this is a resend.
   int generations = 0;    // Runs of the last stage, generation.
-  double size = 1;
-  double cost = 0;     // Upstream seconds of all its stage calls.
-  bool ended = false;  // Answered or refused.
-  bool done = false;   // Answered in time.
+  double size = 1;        // Work, as a multiple of the mean service time.
+  double cost = 0;        // Upstream seconds of all its stage calls.
+  bool ended = false;     // Answered or refused.
+  bool done = false;      // Answered in time.
 };
 
 // One upstream: the batch that it runs and the queue of its waiting calls.
@@ -123,6 +122,8 @@
   return Settings().With(*ParseBranch("bench", 1, json));
 }
 
+// The simulation of one run: events in virtual time, callers, and engines
+// around the real cores.
 class World {
  public:
   World(const Deployment& deployment,
@@ -175,6 +176,7 @@
   // Computes the result from all submissions.
   Result ComputeResult();
 
+  // An event of the simulation; `order` keeps events of one time in sequence.
   struct Task {
     TimeUs at;
     std::uint64_t order;
@@ -235,7 +237,7 @@
     for (const auto& it : ops) {
       answer.rows.push_back({it.key, it.value, it.version + 1});
     }
-    world->After(kStoreTime, [this, ticket, answer] {
+    world->After(kStoreLatency, [this, ticket, answer] {
       world->entries_[n]->OnStoreAnswer(world->now_, ticket, answer);
     });
   }
@@ -327,8 +329,8 @@
 
 // Advances the capacity bound, a fluid model: generation runs at full batch
 // whenever there is work, and only the backlog that can still be answered in
-// time is kept. No real policy reaches it, because none knows the service times
-// in advance.
+// time is kept. No real policy can reach the bound, because it cannot know
+// which requests will still be in time.
 void World::AdvanceBound() {
   constexpr DurationUs kStep = 100 * kMillisecond;
   const double capacity = Capacity();
--- a/bench/decisions_main.cc
+++ b/bench/decisions_main.cc
@@ -102,12 +102,16 @@
   const auto only = args["only"].as<std::string>();
   const bool naive = args.count("no-naive") == 0;
   std::printf(
-      "In %% of requests sent: urgent, patient, worst account, work in time of "
-      "the capacity bound,\nthe same while the change lasts, and after the "
-      "change ended by 5 s. Seconds: urgent "
-      "answers, refusals, longest gap of any\naccount, cost an answer before "
-      "generation and of it, cost of a request not in time;\n"
-      "dbl: non-idempotent requests that ran twice.\n");
+      "Answered in time, in %% of requests sent: urgent, patient, worst "
+      "account.\nbound: work answered in time in %% of the capacity bound; "
+      "full: "
+      "the same while the change lasts;\nafter: answered in time 5 s or more "
+      "after the end of the change. p50 to p99.9: answer times of urgent\n"
+      "requests in s. soon99: 99th percentile of the time until a refusal in "
+      "s. gap: longest time in s without\nan answer for any account. early and "
+      "genera: upstream s per answer before and in generation.\nrefcst: "
+      "upstream s per request not in time. dbl: non-idempotent requests that "
+      "ran twice.\n");
   std::uint64_t signature = PrintTable(kTuningSeeds, naive, only);
   if (args.count("tuned") == 0) {
     std::printf("\nSeeds kept back from tuning:\n");
--- a/bench/dissemination.cc
+++ b/bench/dissemination.cc
@@ -69,10 +69,10 @@
         TimeUntil(group, [&] { return group->Having(version) == count; }));
   }
   std::printf(
-      "%4d  down just after the write: all had it during the outage in"
+      "%4d  down right after the write: all entries had it during the outage in"
       " %d of 3\n",
       count, complete);
-  Print(count, "  from the table's return", times);
+  Print(count, "  from the end of the outage", times);
 }
 
 void MeasureRestart(EntryGroup* group, int count, const char* what) {
@@ -101,7 +101,7 @@
               Ms(Loop::Now() - polled));
   MeasureChanges(&group, count, "change, table up");
   group.Fault(R"({"delay_ms":500})");
-  MeasureChanges(&group, count, "change, table takes 500 ms");
+  MeasureChanges(&group, count, "change, table delays by 500 ms");
   group.Fault(R"({"delay_ms":0})");
   MeasureDownAfterWrite(&group, count);
   MeasureRestart(&group, count, "start until ready, table up");
@@ -122,8 +122,9 @@
     kb = std::max(kb, ResidentKbOf(it->pid()));
   }
   const auto share = static_cast<double>(cpu) / count / (Loop::Now() - from);
-  std::printf("%4d  idle: %.2f%% of a core an entry, largest %ld KB resident\n",
-              count, share * 100, kb);
+  std::printf(
+      "%4d  idle: %.2f%% of a core per entry, largest %ld KB resident\n", count,
+      share * 100, kb);
 }
 
 }  // namespace
--- a/bench/gateway_load.cc
+++ b/bench/gateway_load.cc
@@ -40,7 +40,7 @@
   const auto sent = world->ledger()->sent() - sent_before;
   const DurationUs used = gateway.ProcessorTime() - used_before;
   std::printf(
-      "%-8s %6.0f/s %6zu sent  %7.3f ms of processor a request  %5.1f MB\n",
+      "%-8s %6.0f/s %6zu sent  %7.3f ms of CPU time per request  %5.1f MB\n",
       load.route.c_str(), load.per_second, sent,
       static_cast<double>(used) / 1000 / static_cast<double>(sent),
       static_cast<double>(gateway.MemoryBytes()) / 1e6);
--- a/bench/path.cc
+++ b/bench/path.cc
@@ -111,9 +111,8 @@
     std::fprintf(stderr, "the deployment was not ready in time\n");
     return 1;
   }
-  std::printf(
-      "One stage of %d ms; times in us, processor time in us a request.\n",
-      kServiceMs);
+  std::printf("One stage of %d ms; times in us, CPU time in us per request.\n",
+              kServiceMs);
   std::printf("%9s %10s %10s %9s %7s %10s %10s %9s %9s %8s %6s\n", "in flight",
               "direct p50", "path p50", "added", "ratio", "direct p99",
               "path p99", "entry", "sidecar", "rps/core", "failed");
--- a/tests/process/at_most_once_test.cc
+++ b/tests/process/at_most_once_test.cc
@@ -35,7 +35,8 @@
 // Conditions hold far earlier; the timeout only ends a test that hangs.
 constexpr DurationUs kWaitTimeout = 30 * kSecond;
 
-// Progress of the first copy at the time of the fault.
+// Progress of the first copy at the time of the fault. At kAfterHandOver an
+// upstream runs the request.
 enum class FaultPoint {
   kBeforeClaim,
   kAfterClaim,
--- a/tests/process/sidecar_test.cc
+++ b/tests/process/sidecar_test.cc
@@ -283,8 +283,8 @@
   deployment->StartSidecar("models-1");
 }
 
-// A holder sends an order, its lease passes to another holder, and its next
-// order arrives late; once more after the sidecar was restarted. The upstream
+// The lease passes from one holder to the next, and an order of the earlier one
+// arrives late, both before and after a restart of the sidecar. The upstream
 // ignores fencing numbers, so the sidecar alone must refuse the late order. The
 // upstream's log shows that only orders with the current number were executed,
 // each once.
--- a/tests/soak/ledger.cc
+++ b/tests/soak/ledger.cc
@@ -54,8 +54,8 @@
   --open_;
 }
 
-void Ledger::OnViolation(const std::string& promise, const std::string& id) {
-  violations_.push_back(StrCat(id, ": ", promise));
+void Ledger::OnViolation(const std::string& violation, const std::string& id) {
+  violations_.push_back(StrCat(id, ": ", violation));
 }
 
 std::vector<std::string> Ledger::Violations() const {
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -20,13 +20,14 @@
   bool idempotent = false;  // May run more than once.
   TimeUs sent_at = 0;
   DurationUs deadline = 0;
-  int runs = 0;
-  bool ended = false;
+  int runs = 0;        // At replicas.
+  bool ended = false;  // The client has its answer or lost its connection.
   TimeUs ended_at = 0;
   int status = 0;  // HTTP status; zero: the connection ended without answer.
   bool whole = false;  // The answer was complete.
 };
 
+// All attempts of a soak, by attempt id.
 class Ledger {
  public:
   void OnSent(const std::string& id, LedgerEntry entry);
@@ -35,7 +36,7 @@
   // The client received its answer, or its connection broke.
   void OnEnded(TimeUs now, const std::string& id, int status, bool whole);
   // A client or replica observed a violation.
-  void OnViolation(const std::string& promise, const std::string& id);
+  void OnViolation(const std::string& violation, const std::string& id);
 
   // All violations, each as one line with the id of the attempt.
   std::vector<std::string> Violations() const;
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -26,11 +26,13 @@
 // Minimum share of the requests after the recovery that must be answered with
 // 200.
 constexpr double kMinServedShare = 0.9;
+// Number of these requests.
 constexpr int kRequestsAfterFaults = 60;
 
 constexpr std::array<std::string_view, 4> kRoutes = {"unsafe", "safe", "staged",
                                                      "resumed"};
 
+// One soak: start, faults under load, recovery and the final checks.
 class Soak {
  public:
   Soak(Loop* loop, const SoakOptions& options)
@@ -204,6 +206,7 @@
     }
   }
 
+  // Checks that all gateways become ready and answer new requests.
   void CheckRecovery() {
     constexpr int kOk = 200;
     for (std::size_t n = 0; n < world_.gateways().size(); ++n) {
@@ -258,8 +261,8 @@
   World world_;
   SoakReport report_;
   TimeUs start_ = 0;
-  double due_requests_ =
-      0;  // Requests to send, with the fraction carried over.
+  // Number of requests to send now; the fraction is carried over.
+  double due_requests_ = 0;
   bool sending_ = false;
   bool injecting_ = true;
   std::map<GatewayProcess*, bool> restarting_;
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -14,9 +14,9 @@
 
 struct SoakOptions {
   std::uint64_t seed = 1;
-  DurationUs fault_time =
-      12 * kSecond;  // Time during which faults are injected.
-  int rate = 40;     // Requests per second.
+  // Time during which faults are injected.
+  DurationUs fault_time = 12 * kSecond;
+  int rate = 40;  // Requests per second.
   WorldOptions world;
 };
 
--- a/tests/soak/standin_replica.h
+++ b/tests/soak/standin_replica.h
@@ -20,8 +20,8 @@
 struct ReplicaWork {
   enum class Kind { kPlain, kStage, kEngine };
   Kind kind = Kind::kPlain;
-  DurationUs service_time =
-      0;  // Per answer or call; engine: until the first event.
+  // Time per answer or stage call; of an engine, until the first event.
+  DurationUs service_time = 0;
   DurationUs event_interval = 0;  // Interval between events of a stream.
   int events = 0;                 // Per stream.
 };
@@ -52,6 +52,7 @@
   void OnListenerEvent(const ListenerEvent&) override {}
 
  private:
+  // A stage call that waits for its turn.
   struct StageCall {
     ExchangeId id = 0;
     std::string body;
--- a/tests/soak/standin_store.h
+++ b/tests/soak/standin_store.h
@@ -51,6 +51,7 @@
   void OnListenerEvent(const ListenerEvent&) override {}
 
  private:
+  // The current value of a row, or the version that removed it.
   struct Row {
     std::string value;  // In Base64, as on the wire.
     std::uint64_t version = 0;
@@ -61,7 +62,7 @@
   struct Feed {
     std::string table;
     std::uint64_t after = 0;
-    TimeUs until = 0;
+    TimeUs until = 0;  // End of the wait time.
   };
   using Key = std::pair<std::string, std::string>;  // Table and key.
 
@@ -79,8 +80,8 @@
   HttpListener listener_;
   FaultMode fault_mode_ = FaultMode::kServing;
   std::uint64_t version_ = 0;
-  std::uint64_t dropped_version_ =
-      0;  // Changes up to this version were dropped.
+  // Changes up to this version were dropped.
+  std::uint64_t dropped_version_ = 0;
   std::map<Key, Row> rows_;
   std::map<ExchangeId, Feed> feeds_;
   const std::shared_ptr<int> alive_ = std::make_shared<int>();
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -30,6 +30,7 @@
   std::string log_folder;  // Of the gateways' logs; empty: no logs.
 };
 
+// The deployment; all parts but the gateways run in the process of the test.
 class World {
  public:
   World(Loop* loop, const WorldOptions& options);
@@ -72,8 +73,7 @@
   Ledger ledger_;
   StandinStore store_;
   std::vector<std::unique_ptr<StandinReplica>> replicas_;
-  std::map<std::string, std::string>
-      service_by_address_;  // Key: replica address.
+  std::map<std::string, std::string> service_by_address_;
   std::vector<std::unique_ptr<Relay>> store_links_;
   std::vector<std::unique_ptr<GatewayProcess>> gateways_;
   HttpChannels channels_;
