--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -26,7 +26,7 @@
 // Minimum share of the requests after the recovery that must be answered with
 // 200.
 constexpr double kMinServedShare = 0.9;
-// Number of these requests.
+// Number of requests sent after the recovery.
 constexpr int kRequestsAfterFaults = 60;
 
 constexpr std::array<std::string_view, 4> kRoutes = {"unsafe", "safe", "staged",
