--- a/bench/dissemination.cc
+++ b/bench/dissemination.cc
@@ -48,8 +48,8 @@
   for (int n = 0; n < kRounds; ++n) {
     const SettingsVersion version = group->Change();
     if (version != 0) {
-      times.push_back(
-          TimeUntil(group, [&] { return group->Having(version) == count; }));
+      times.push_back(TimeUntil(
+          group, [&] { return group->CountAtVersion(version) == count; }));
     }
   }
   Print(count, what, times);
@@ -60,13 +60,13 @@
   int complete = 0;
   for (int n = 0; n < 3; ++n) {
     const SettingsVersion version = group->Change();
-    group->Fault(R"({"down":true})");
+    group->InjectFaults(R"({"down":true})");
     const TimeUs until = Loop::Now() + 3 * kSecond;
     group->WaitFor([&] { return Loop::Now() >= until; }, kWaitTimeout);
-    complete += group->Having(version) == count ? 1 : 0;
-    group->Fault(R"({"down":false})");
-    times.push_back(
-        TimeUntil(group, [&] { return group->Having(version) == count; }));
+    complete += group->CountAtVersion(version) == count ? 1 : 0;
+    group->InjectFaults(R"({"down":false})");
+    times.push_back(TimeUntil(
+        group, [&] { return group->CountAtVersion(version) == count; }));
   }
   std::printf(
       "%4d  down right after the write: all entries had it during the outage in"
@@ -96,18 +96,18 @@
     return;
   }
   const TimeUs polled = Loop::Now();
-  group.Having(0);
+  group.CountAtVersion(0);
   std::printf("%4d  one round of polls takes %.0f ms\n", count,
               Ms(Loop::Now() - polled));
   MeasureChanges(&group, count, "change, table up");
-  group.Fault(R"({"delay_ms":500})");
+  group.InjectFaults(R"({"delay_ms":500})");
   MeasureChanges(&group, count, "change, table delays by 500 ms");
-  group.Fault(R"({"delay_ms":0})");
+  group.InjectFaults(R"({"delay_ms":0})");
   MeasureDownAfterWrite(&group, count);
   MeasureRestart(&group, count, "start until ready, table up");
-  group.Fault(R"({"down":true})");
+  group.InjectFaults(R"({"down":true})");
   MeasureRestart(&group, count, "start until ready, table down");
-  group.Fault(R"({"down":false})");
+  group.InjectFaults(R"({"down":false})");
 
   const TimeUs from = Loop::Now();
   DurationUs cpu = 0;
