--- a/tests/soak/loopback.cc
+++ b/tests/soak/loopback.cc
@@ -40,7 +40,7 @@
               DurationUs delay,
               const std::weak_ptr<int>& alive,
               std::function<void()> task) {
-  loop->AfterWhile(alive, delay, std::move(task));
+  loop->AfterIfAlive(alive, delay, std::move(task));
 }
 
 void RunEvery(Loop* loop,
