--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -164,13 +164,12 @@
 
 void Gateway::Impl::Expire(ServingRequest* request) {
   if (request->attempt.call == 0 && request->possible_runs == 0) {
-    Refuse(request,
-           {Refusal::kFull, Verdict::kNotRun, 0,
-            "the deadline passed before the request was sent to a replica"});
+    Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
+                     "the time was over before a replica was reached"});
     return;
   }
   Refuse(request, {Refusal::kLate, Verdict::kMayHaveRun, 0,
-                   "the replica did not answer before the deadline"});
+                   "the replica did not answer in time"});
 }
 
 Gateway::Gateway(GatewayOptions options,
@@ -310,9 +309,8 @@
   impl_->metrics->Count("acaciachute_gateway_pieces_total",
                         Name(result.outcome));
   if (result.outcome == PieceOutcome::kInputGone) {
-    impl_->RestartStages(request,
-                         StrCat("stage ", result.key.stage,
-                                ": an input result is no longer available"));
+    impl_->RestartStages(
+        request, StrCat("stage ", result.key.stage, " found a result gone"));
     return;
   }
   if (result.outcome != PieceOutcome::kMade) {
@@ -346,7 +344,7 @@
     const bool sent = it->attempt.call != 0 || it->possible_runs > 0;
     impl_->Refuse(it, {sent ? Refusal::kUpstreamFailed : Refusal::kLeaving,
                        sent ? Verdict::kMayHaveRun : Verdict::kNotRun, 0,
-                       "the gateway is shutting down"});
+                       "the node leaves"});
   }
 }
 
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -125,7 +125,7 @@
   }
   *refusal = {Refusal::kNoReplica, Verdict::kNotRun,
               LongestRetryAfter(request.first_response_by - output->Now()),
-              StrCat("no replica of ", missing, " accepts work")};
+              StrCat("no replica of ", missing, " takes work")};
   return true;
 }
 
@@ -148,7 +148,7 @@
   if (config == nullptr) {
     RefuseUnadmitted(id, call,
                      {Refusal::kNotCurrent, Verdict::kNotRun, kSecond,
-                      "no configuration was received yet"});
+                      "no configuration is known yet"});
     return;
   }
   const Route* route = config->FindRoute(call.host, call.target);
@@ -157,10 +157,9 @@
     return;
   }
   if (refuses_streams && route->kind == RouteKind::kStream) {
-    RefuseUnadmitted(
-        id, call,
-        {Refusal::kLeaving, Verdict::kNotRun, kRetryElsewhereDelay,
-         "the gateway is shutting down and the stream could outlast it"});
+    RefuseUnadmitted(id, call,
+                     {Refusal::kLeaving, Verdict::kNotRun, kRetryElsewhereDelay,
+                      "a stream may outlast this process"});
     return;
   }
   const ClientAccount* account = nullptr;
@@ -291,14 +290,12 @@
   const DurationUs suggested_wait = std::clamp(late, shortest, longest);
   const auto spread = static_cast<DurationUs>(random->Below(
       static_cast<std::uint64_t>(longest - suggested_wait) / 2 + 1));
-  *refusal = {Refusal::kFull, Verdict::kNotRun, suggested_wait + spread,
-              StrCat(request->route->name, ": processing ", work / kMillisecond,
-                     " ms, queue wait ", in_time / kMillisecond,
-                     " ms (if admitted late ", late / kMillisecond,
-                     " ms), remaining until target ",
-                     (request->target_by - now) / kMillisecond,
-                     " ms, remaining milliseconds until deadline ",
-                     left / kMillisecond)};
+  *refusal = {
+      Refusal::kFull, Verdict::kNotRun, suggested_wait + spread,
+      StrCat(request->route->name, ": work ", work / kMillisecond, " ms, wait ",
+             in_time / kMillisecond, " or if late ", late / kMillisecond,
+             ", until late ", (request->target_by - now) / kMillisecond,
+             ", until its client leaves ", left / kMillisecond)};
   return AdmissionResult::kRefused;
 }
 
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -35,8 +35,7 @@
     const bool listed = !directory->Of(request->service).empty();
     Refuse(request,
            {listed ? Refusal::kFull : Refusal::kNoReplica, Verdict::kNotRun, 0,
-            StrCat(request->tried.size(),
-                   " replicas tried, no other one accepts the request")});
+            StrCat(request->tried.size(), " replicas asked")});
     return;
   }
   SendTo(request, *replica);
@@ -153,7 +152,7 @@
     attempt.body += bytes;
     if (attempt.body.size() > kMaxAnswerBytes) {
       CancelAttempt(request);
-      OnMayHaveRun(request, "the answer exceeds the size limit");
+      OnMayHaveRun(request, "the answer is too long");
     }
     return;
   }
@@ -202,11 +201,8 @@
   }
   if (head.ok() && (!head.sealed || head.encoded)) {
     EndAttempt(request);
-    OnMayHaveRun(
-        request,
-        head.sealed
-            ? "the answer has a content encoding that the replica did not apply"
-            : "the answer lacks the replica's seal");
+    OnMayHaveRun(request, head.sealed ? "the body is encoded"
+                                      : "the answer bears no proof");
     return;
   }
   const bool stream = request->route->kind == RouteKind::kStream && head.ok();
@@ -237,10 +233,8 @@
   ++request->possible_runs;
   if (request->stream_begun) {
     // A replica that should have resumed the stream answered with an error.
-    Refuse(
-        request,
-        {Refusal::kUpstreamFailed, Verdict::kMayHaveRun, 0,
-         "the replica answered with an error instead of resuming the stream"});
+    Refuse(request, {Refusal::kUpstreamFailed, Verdict::kMayHaveRun, 0,
+                     "the stream could not be resumed"});
     return;
   }
   if (failed && MayRetry(*request) &&
@@ -272,16 +266,12 @@
                          {"status", status}});
   if (status == kConflict) {
     request->tried.clear();
-    RestartStages(
-        request,
-        "the replica answered 409: an input result is no longer available");
+    RestartStages(request, "the replica found a result gone");
     return;
   }
   if (attempt.head && !ServiceBudget(request->service).Take(output->Now())) {
-    Refuse(
-        request,
-        {Refusal::kFull, Verdict::kNotRun, 0,
-         "the replica refused the request and the retry budget is exhausted"});
+    Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
+                     "the replica refused, and the retry budget is spent"});
     return;
   }
   metrics->Count("acaciachute_gateway_retries_total", "not_run");
@@ -307,7 +297,7 @@
       StartAttempt(request);
     } else {
       // The results were released at the first event and have to be made again.
-      RestartStages(request, "the stream is resumed at another replica");
+      RestartStages(request, "its stream is begun again");
     }
     return;
   }
@@ -354,7 +344,7 @@
     // Failing an earlier call may have ended this call's request.
     if (ServingRequest* request = FindByCall(call)) {
       output->Cancel(call);
-      OnFailed(request, true, "the replica restarted");
+      OnFailed(request, true, "the replica started again");
     }
   }
 }
--- a/src/coordination/gateway/gateway_stages.cc
+++ b/src/coordination/gateway/gateway_stages.cc
@@ -124,17 +124,15 @@
   dispatcher->Free(request->progress.TakeAll());
   dispatcher->Drop(request->call.id);
   if (++request->restarts > kMaxStageRestarts) {
-    Refuse(
-        request,
-        {Refusal::kFull, Verdict::kNotRun, 0,
-         "stage results were lost more often than the restart limit allows"});
+    Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
+                     "results of stages were lost too often"});
     return;
   }
   request->progress.Restart();
   const DurationUs left = request->first_response_by - output->Now();
   if (request->progress.TimeLeft() + kEngineFirstEventTime > left) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
-                     StrCat("not enough time to run the stages again: ", why)});
+                     StrCat("no time to begin again: ", why)});
     return;
   }
   log->Write(
--- a/src/coordination/interface/caller.h
+++ b/src/coordination/interface/caller.h
@@ -68,7 +68,7 @@
 // Detail of a refusal of a request with a key before the key's row was read: an
 // earlier copy may have run, and a retry is safe only under the same key.
 inline constexpr char kThisCopyNotRun[] =
-    "this copy of the request was not run; retry it under the same key";
+    "this copy was not run; repeat it under the same key";
 
 inline CallerAnswer MakeRefusal(Verdict verdict,
                                 Refusal reason,
--- a/src/coordination/interface/claims.cc
+++ b/src/coordination/interface/claims.cc
@@ -107,7 +107,7 @@
 
 CallerAnswer HolderStoppedAnswer() {
   return MakeRefusal(Verdict::kMayHaveRun, Refusal::kInProgress,
-                     "the entry that ran the request has stopped", 0);
+                     "the entry that ran it is gone", 0);
 }
 
 CallerAnswer KeyReusedAnswer() {
@@ -576,13 +576,12 @@
         if (status != StoreStatus::kOk) {
           impl_->events->OnClaimStatus(
               handle, MakeRefusal(Verdict::kMayHaveRun, Refusal::kStoreDown,
-                                  "the store does not answer; the status of "
-                                  "the request is unknown"));
+                                  "what became of it cannot be read now"));
         } else if (row.version == 0) {
           // A copy may still arrive, and idempotent requests leave no row.
           impl_->events->OnClaimStatus(
               handle, MakeRefusal(Verdict::kMayHaveRun, Refusal::kNotFound,
-                                  "no request has run under this key so far"));
+                                  "nothing has run under this key so far"));
         } else if (const auto claim = DecodeClaim(row.value); claim.ok()) {
           impl_->events->OnClaimStatus(handle, AnswerFromClaim(*claim));
         } else {
--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -151,11 +151,11 @@
       call.deadline == 0 ? event->max_deadline : call.deadline;
   if (deadline < 0 || deadline > event->max_deadline) {
     return refuse(Refusal::kMalformed,
-                  StrCat("the deadline exceeds the event's maximum of ",
+                  StrCat("the deadline is past the event's longest, ",
                          event->max_deadline / kMillisecond, " ms"));
   }
   if (!call.idempotent && call.key.empty()) {
-    return refuse(Refusal::kMalformed, "an idempotency key is required");
+    return refuse(Refusal::kMalformed, "a key is required");
   }
   // A request that waited in the event loop past its deadline is refused before
   // it causes any work.
--- a/src/coordination/tables/table_relay.cc
+++ b/src/coordination/tables/table_relay.cc
@@ -118,12 +118,11 @@
   const TableRequest& request = held.request;
   TableAnswer answer;
   if (!known_ || (request.whole && bytes_ > kMaxTableBytes)) {
-    answer.why =
-        "the relay has no copy of the table, or it exceeds one message";
+    answer.why = "the table is not held here";
     return answer;
   }
   if (request.whole && version_ < request.after) {
-    answer.why = "the relay has an older table than the requester";
+    answer.why = "an older table than the asker's";
     return answer;
   }
   if (!request.whole && request.after < history_from_) {
@@ -165,7 +164,7 @@
   answer.known_after.reset();
   answer.kind =
       store_lost_ ? TableAnswer::Kind::kStoreLost : TableAnswer::Kind::kRows;
-  answer.why = store_lost_ ? "the store does not answer the relay" : "";
+  answer.why = store_lost_ ? "the store does not answer there" : "";
   return answer;
 }
 
--- a/src/protocol/caller_http.cc
+++ b/src/protocol/caller_http.cc
@@ -75,13 +75,12 @@
   const auto [end, ec] = std::from_chars(text->data(), last, ms);
   if (ec != std::errc() || end != last || ms > kMaxDeadlineMs) {
     return Malformed(
-        StrCat("Acaciachute-Deadline-Ms: allowed is an integer from 1 to ",
+        StrCat("Acaciachute-Deadline-Ms: allowed is a whole number from 1 to ",
                kMaxDeadlineMs));
   }
   request->deadline = ms * kMillisecond;
   if (request->deadline <= head.waited) {
-    return Rejection{Refusal::kLate,
-                     "the deadline passed before the request was read"};
+    return Rejection{Refusal::kLate, "the deadline has passed"};
   }
   return std::nullopt;
 }
@@ -93,11 +92,10 @@
         StrCat("Idempotency-Key: longer than ", kMaxKeySize, " bytes"));
   }
   if (!IsUtf8(request->key)) {
-    return Malformed("Idempotency-Key: not valid UTF-8");
+    return Malformed("Idempotency-Key: no UTF-8");
   }
   if (!request->idempotent && request->key.empty()) {
-    return Malformed(
-        "Idempotency-Key: required for a request that is not idempotent");
+    return Malformed("Idempotency-Key: required when not idempotent");
   }
   return std::nullopt;
 }
@@ -129,7 +127,7 @@
                      StrCat("the body is over ", kMaxBodySize, " bytes")};
   }
   if (!Json::accept(body)) {
-    return Malformed("the body is not valid JSON in UTF-8");
+    return Malformed("the body is no valid JSON in UTF-8");
   }
   request->body = body;
   return std::nullopt;
@@ -181,13 +179,12 @@
   }
   const auto name = ReadSegment(parts[3], kMaxNameSize);
   if (!name) {
-    return Malformed(
-        "the path has a name that is empty, too long or not valid UTF-8");
+    return Malformed("the path has a name that is empty, too long or no UTF-8");
   }
   if (head.method == "GET" && (status || (event && parts.size() == 6))) {
     const auto key = ReadSegment(parts.back(), kMaxKeySize);
     if (!key) {
-      return Malformed("the key is empty, too long or not valid UTF-8");
+      return Malformed("the key is empty, too long or no UTF-8");
     }
     return StatusQuery{"", *key};
   }
@@ -197,7 +194,7 @@
     return request;
   }
   if (head.method != "POST" || !service) {
-    return Malformed("the path does not support this method");
+    return Malformed("no such method here");
   }
   request.service_pool = *name;
   for (std::size_t n = 4; n < parts.size(); ++n) {
--- a/src/protocol/http1.cc
+++ b/src/protocol/http1.cc
@@ -63,7 +63,7 @@
     return "no Host field";
   }
   if (!OnlyChunked(head.fields)) {
-    return "the transfer coding is not chunked";
+    return "a transfer coding other than chunked";
   }
   if (!version_1_1 && FindField(head.fields, "transfer-encoding") != nullptr) {
     return "a transfer coding in HTTP/1.0";
@@ -72,7 +72,7 @@
     return "more than one Content-Length field";
   }
   if (head.target.empty() || head.target.front() != '/') {
-    return "the request target is not a path";
+    return "the target is not a path";
   }
   return nullptr;
 }
@@ -124,7 +124,7 @@
         expect != nullptr && EqualsIgnoreCase(*expect, "100-continue");
     state = State::kBody;
     if (HasFoldedLine(raw)) {
-      Fail(400, "a header field is folded over several lines");
+      Fail(400, "a field that goes on in the next line");
     } else if (const char* why = AmbiguityIn(head, version_1_1)) {
       Fail(400, why);
     }
@@ -213,7 +213,7 @@
         (FindField(head.fields, "transfer-encoding") != nullptr &&
          FindField(head.fields, "content-length") != nullptr)) {
       state = State::kBad;
-      error = "the answer's body length is ambiguous";
+      error = "an ambiguous body length";
     }
   }
 
@@ -282,7 +282,7 @@
     return impl_->state;
   }
   impl_->state = State::kBad;
-  impl_->error = "the connection was closed before the end of the answer";
+  impl_->error = "the connection ended before the answer";
   return impl_->state;
 }
 HttpAnswerReader::State HttpAnswerReader::state() const {
--- a/src/protocol/quarantine_http.cc
+++ b/src/protocol/quarantine_http.cc
@@ -50,14 +50,11 @@
 HttpReply Lift(std::string_view body, TimeUs now, Quarantine* quarantine) {
   const std::uint64_t fingerprint = ParseFingerprint(body);
   if (fingerprint == 0) {
-    return Reply(
-        kHttpBadRequest,
-        {{"error",
-          "fingerprint: found no valid one, allowed: a string of hex digits"}});
+    return Reply(kHttpBadRequest,
+                 {{"error", "fingerprint: found none, allowed: hex digits"}});
   }
   if (!quarantine->Lift(now, fingerprint)) {
-    return Reply(kHttpNotFound,
-                 {{"error", "the fingerprint is not in quarantine"}});
+    return Reply(kHttpNotFound, {{"error", "not in quarantine"}});
   }
   return Reply(200, {{"lifted", FingerprintText(fingerprint)}});
 }
--- a/src/state/claim.cc
+++ b/src/state/claim.cc
@@ -89,7 +89,7 @@
 absl::StatusOr<Claim> DecodeClaim(std::string_view text) {
   const auto in = Json::parse(text, nullptr, false);
   if (!in.is_object()) {
-    return absl::DataLossError("claim row is not a JSON object");
+    return absl::DataLossError("claim row is no JSON object");
   }
   try {
     Claim claim;
@@ -109,8 +109,7 @@
                        : in.at("answer").get<std::string>();
     return claim;
   } catch (const Json::exception& e) {
-    return absl::DataLossError(
-        StrCat("claim row has a missing or mistyped member: ", e.what()));
+    return absl::DataLossError(StrCat("claim row: ", e.what()));
   }
 }
 
--- a/src/transport/http_listener.cc
+++ b/src/transport/http_listener.cc
@@ -166,8 +166,7 @@
       return false;
     }
     if (reading_since_ != 0 && now - reading_since_ > owner_->limits.head) {
-      Refuse(408,
-             "the request was not completely received within the time limit");
+      Refuse(408, "the request was not sent in time");
       return false;
     }
     return reading_since_ == 0 && now - idle_since_ > owner_->limits.idle;
@@ -201,7 +200,7 @@
 
   void OnPartOfBody() {
     if (owner_->buffered > owner_->limits.buffered_bytes) {
-      Refuse(503, "the buffer for request bodies is full");
+      Refuse(503, "too many bytes of requests are held");
       return;
     }
     if (reader_.head().expects_continue && !continued_) {
