--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -505,7 +505,8 @@
     }
   }
   EndCallsWhere(
-      now, {PieceCallEnd::Kind::kBroken, "no answer within 4 s", {}},
+      now,
+      {PieceCallEnd::Kind::kBroken, "no answer within the call timeout", {}},
       [&](const Call& call) { return now - call.started > kCallTimeout; });
 }
 
--- a/src/coordination/stages/shared_piece_dispatcher.cc
+++ b/src/coordination/stages/shared_piece_dispatcher.cc
@@ -238,8 +238,9 @@
       overdue.push_back(key);
     }
   }
-  Resubmit(now, overdue,
-           "no result within 2.5 s beyond the expected queue wait");
+  Resubmit(
+      now, overdue,
+      "no result within the result timeout beyond the expected queue wait");
 }
 
 }  // namespace acaciachute
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -366,7 +366,7 @@
   if (IsOpen() && !relay_request_.peer.empty() &&
       now - relay_request_.sent_at >
           TableRelay::kMaxHoldTime + kRelayReplyMargin) {
-    OnPeerFailed(now, "no answer from the relay within 950 ms");
+    OnPeerFailed(now, "the relay did not answer within its time limit");
   }
   RequestFromStoreIfOld(now);
 }
