--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -600,10 +600,10 @@
 QueueWait PieceBatcher::ExpectedWait(TimeUs now) const {
   std::array<std::size_t, QueueWait::kPriorityLevels> ahead{};
   for (const Rank& it : waiting_) {
-    const std::size_t first = it.standing == Standing::kBegun ? 0
-                              : it.standing == Standing::kLate
-                                  ? QueueWait::kPriorityLevels
-                                  : it.priority;
+    const std::size_t first =
+        it.dispatch_class == DispatchClass::kSiblingStarted ? 0
+        : it.dispatch_class == DispatchClass::kLate ? QueueWait::kPriorityLevels
+                                                    : it.priority;
     for (std::size_t n = first; n < QueueWait::kPriorityLevels; ++n) {
       ++ahead[n];
     }
