--- a/src/coordination/admission/fair_share.h
+++ b/src/coordination/admission/fair_share.h
@@ -2,13 +2,13 @@
 //
 // If one account sends ten times its share, without this safeguard every other
 // account would be refused as often as it is, and a queue in order of arrival
-// would favor whoever sends most. Each answer of the pool grants one credit,
-// divided by weight among the accounts below `kMaxCredits`; while the pool is
-// full, a request needs a credit. Credits are granted at the rate at which the
-// pool works, so the admitted requests never exceed its capacity, whatever that
-// is. An account that needs less than its share stays at the maximum and leaves
-// its part to the others (deficit round robin, Shreedhar and Varghese 1995,
-// with refusals in place of a queue).
+// would favor the accounts that send most. Each answer of the pool grants one
+// credit, divided by weight among the accounts below `kMaxCredits`; while the
+// pool is full, a request needs a credit. Credits are granted at the rate at
+// which the pool works, so the admitted requests never exceed its capacity,
+// whatever that is. An account that needs less than its share stays at the
+// maximum and leaves its part to the others (deficit round robin, Shreedhar and
+// Varghese 1995, with refusals in place of a queue).
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_FAIR_SHARE_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_FAIR_SHARE_H_
 
@@ -29,15 +29,16 @@
   // requests at present rates, so that random variation alone does not cause
   // refusals.
   static constexpr double kMaxCredits = 8;
-  // Limit on an account's debt: requests admitted without a credit, either as
-  // urgent work or while the pool was not full. The account pays the debt back
-  // first when the pool is full. The limit equals about a second of a large
+  // Limit on an account's debt: requests, such as urgent ones, that were
+  // admitted without a credit while the pool was full. The account has to earn
+  // these credits again first. The limit equals about a second of a large
   // account's answers.
   static constexpr double kMaxDebt = 16;
 
-  // While the pool is not full, credits only record who sent requests recently.
-  // An account must not enter contention in debt from such a time, because
-  // small accounts would then be refused by chance.
+  // While the pool is not full, credits only record which accounts sent
+  // requests recently. An account must not be in debt because of these requests
+  // when the pool becomes full, because small accounts would then be refused by
+  // chance.
   static constexpr double kMinUncontendedCredits = kMaxCredits / 2;
 
   // Whether the account may send a request while the pool is full.
--- a/src/coordination/admission/load_control.h
+++ b/src/coordination/admission/load_control.h
@@ -42,7 +42,7 @@
 };
 
 // How an attempt ended: answered, refused by the replica, failed, never sent,
-// or given up by the entry.
+// or abandoned by the entry.
 enum class AttemptEnd { kAnswered, kRefused, kFailed, kUnsent, kGivenUp };
 
 class LoadControl {
--- a/src/coordination/admission/return_schedule.h
+++ b/src/coordination/admission/return_schedule.h
@@ -21,8 +21,8 @@
 
   // Limit on Retry-After; callers would not wait longer.
   static constexpr DurationUs kMaxRetryAfter = 30 * kSecond;
-  // Minimum Retry-After. Sooner, the load reports that caused the refusal would
-  // still be the same.
+  // Minimum Retry-After. A caller that returned earlier would be refused again
+  // on the basis of the same load reports.
   static constexpr DurationUs kMinRetryAfter = kSecond;
 
   // Returns the Retry-After of a caller refused now. `wait` is the minimum
--- a/src/coordination/choice/cold_replica_limiter.h
+++ b/src/coordination/choice/cold_replica_limiter.h
@@ -48,9 +48,9 @@
   // lifted after `kWarmUpDuration`.
   static constexpr DurationUs kWarmUpDuration = kSecond;
   static constexpr DurationUs kLimitDoublingPeriod = 250 * kMillisecond;
-  // Heartbeats of a replica until its row in the store shows that it is cold:
-  // the row may just have been rewritten (one heartbeat), and the next version
-  // needs time to arrive here (one more).
+  // Number of heartbeat periods of a replica until its row in the store shows
+  // that it is cold: the row may just have been rewritten (one heartbeat), and
+  // the next version needs time to arrive here (one more).
   static constexpr DurationUs kStaleRowHeartbeats = 2;
 
   explicit ColdReplicaLimiter(NodeId self) : self_(std::move(self)) {}
--- a/src/coordination/choice/engine_choice.h
+++ b/src/coordination/choice/engine_choice.h
@@ -53,8 +53,8 @@
 class EngineChoice {
  public:
   // Weight of tokens of shared parts that the engine would have to read again.
-  // Besides the reading time, which other requests wait for too, they evict
-  // other parts from the engine's cache.
+  // Reading them again delays other requests and evicts other parts from the
+  // engine's cache.
   static constexpr double kRereadWeight = 10;
   // Factor on `kRereadWeight` for the second home of a prompt, the engine with
   // the second highest hash. While homes are busy in a burst or after the loss
--- a/src/coordination/choice/plain_choice.h
+++ b/src/coordination/choice/plain_choice.h
@@ -48,8 +48,9 @@
                              const std::vector<ReplicaId>& tried,
                              bool may_repeat);
   void OnSent(TimeUs now, const ReplicaId& replica);
-  // Result of a call. `OnEnded` follows either of the two; it is called alone
-  // for a call that its client gave up or that the replica refused.
+  // Result of a call. `OnEnded` is called after `OnAnswer` or `OnFailure`, and
+  // without either for a call that its client cancelled or that the replica
+  // refused.
   void OnAnswer(TimeUs now, const ReplicaId& replica, TimeUs sent_at);
   void OnFailure(TimeUs now, const ReplicaId& replica);
   void OnEnded(const ReplicaId& replica, TimeUs sent_at);
--- a/src/coordination/choice/router.h
+++ b/src/coordination/choice/router.h
@@ -27,12 +27,12 @@
   explicit Router(Random* random) : random_(random) {}
 
   // Returns null if no replica outside `tried` accepts work. Only an idempotent
-  // call may be used to probe whether a shunned replica has recovered.
+  // call may be used to probe whether an excluded replica has recovered.
   //
-  // Shunning only expresses a preference between replicas. If every replica of
-  // a pool is shunned, or its only one, a request that has not been tried yet
-  // goes to a shunned one, because refusing callers would be wrong if the pool
-  // has recovered.
+  // Exclusion only expresses a preference between replicas. If every replica of
+  // a pool is excluded, or its only one, a request that has not been tried yet
+  // goes to an excluded one, because refusing callers would be wrong if the
+  // pool has recovered.
   Replica* Choose(TimeUs now,
                   const std::vector<Replica*>& pool,
                   const std::vector<NodeId>& tried,
--- a/src/coordination/control/fence.cc
+++ b/src/coordination/control/fence.cc
@@ -6,7 +6,7 @@
 namespace acaciachute {
 namespace {
 
-// Result of an order, indexed by `OrderOutcome`.
+// Reason in the reply to an order, indexed by `OrderOutcome`.
 constexpr std::array<Refusal, 4> kReasonByOutcome = {
     Refusal::kNone, Refusal::kFenced, Refusal::kUpstreamFailed,
     Refusal::kUpstreamFailed};
--- a/src/coordination/control/fence.h
+++ b/src/coordination/control/fence.h
@@ -59,6 +59,8 @@
   // while this process was suspended, and is repeated. A read takes some
   // milliseconds.
   static constexpr DurationUs kMaxLeaseReadAge = 500 * kMillisecond;
+  // Maximum number of orders that wait for the lease to be read; more are
+  // refused as `kFull`.
   static constexpr std::size_t kMaxWaitingOrders = 16;
   // Maximum number of outcomes kept under one number. A larger number clears
   // them, because orders under an older one are refused; at the limit, orders
--- a/src/coordination/control/pool_control.cc
+++ b/src/coordination/control/pool_control.cc
@@ -20,8 +20,8 @@
                          FenceNumber fence,
                          const std::vector<ControlTarget>& targets) {
   if (fence != fence_) {
-    // A new number invalidates the order in progress; without a number no order
-    // may be sent.
+    // A new fencing number invalidates the order in progress; without a fencing
+    // number no order may be sent.
     fence_ = fence;
     order_.reset();
   }
--- a/src/coordination/gateway/event_splitter.h
+++ b/src/coordination/gateway/event_splitter.h
@@ -3,7 +3,7 @@
 // When a replica breaks off in the middle of an event and another replica
 // resumes the stream, passing on the partial event would give the client a
 // corrupt event or the same event twice. Only complete events are passed on,
-// and the id of the last one tells the next replica where to resume.
+// and the id of the last one shows the next replica where to resume.
 #ifndef ACACIACHUTE_SRC_COORDINATION_GATEWAY_EVENT_SPLITTER_H_
 #define ACACIACHUTE_SRC_COORDINATION_GATEWAY_EVENT_SPLITTER_H_
 
--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -76,7 +76,7 @@
   const ExchangeId id = request->id;
   // An earlier attempt may have run even if the last one did not, for example
   // because no replica was available or no time was left for another attempt.
-  // The client must not be told "not run" then.
+  // The verdict must then not be "not run".
   if (request->possible_runs > 0 && answer.verdict == Verdict::kNotRun) {
     answer.reason = Refusal::kUpstreamFailed;
     answer.verdict = Verdict::kMayHaveRun;
--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -187,8 +187,9 @@
   void SetGatewayCount(std::size_t n);
   // See `ColdReplicaLimiter::SetGateways`.
   void SetKnownGateways(std::vector<NodeId> gateways);
-  // Whether another gateway can check keys. If this one cannot, refused clients
-  // are told to retry at once, so that they reach the other one.
+  // Whether another gateway can check keys. If this gateway cannot, it refuses
+  // requests with a short Retry-After, because a new connection most likely
+  // reaches a gateway that can.
   void SetPeerCanCheckKeys(bool can_check_keys);
   EngineChoice* engines();
   // The retry budget of a service; the stage pieces of that service share it.
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -82,11 +82,11 @@
 
 // The store may be unreachable for some or all hosts for seconds, and clients
 // retry only once or twice. If another gateway can check keys, a new connection
-// most likely reaches it, so the client is told to retry at once. If none can,
-// a client that retries within a second would be refused again and use up its
-// retries, so it is told to wait for the longest time that clients accept, a
-// third of their remaining time. The wait is spread so that clients do not
-// retry at the same time.
+// most likely reaches it, so the Retry-After is short. If none can, a client
+// that retries within a second would be refused again and use up its retries,
+// so the Retry-After is the longest that clients accept, a third of their
+// remaining time. The wait is spread so that clients do not retry at the same
+// time.
 DurationUs Gateway::Impl::RetryAfterUncheckedKey(const Route& route,
                                                  const ClientRequest& call) {
   if (peer_can_check_keys) {
--- a/src/coordination/gateway/gateway_impl.h
+++ b/src/coordination/gateway/gateway_impl.h
@@ -28,13 +28,14 @@
   TimeUs sent_at = 0;
   // Age of the replica list when the replica was chosen.
   DurationUs replica_list_age = 0;
-  // Time from then until the request was sent.
+  // Time from the choice of the replica until the request was sent.
   DurationUs connect_time = 0;
   std::optional<ReplicaHead> head;
   // Body of a plain answer, buffered until it is complete.
   std::string body;
   bool first_event_received = false;
-  // The cold replica limiter was told that the request arrived or was not sent.
+  // The cold replica limiter was notified that the request arrived or was not
+  // sent.
   bool arrival_reported = false;
   // Reading from the replica is stopped until the client has read more.
   bool paused = false;
--- a/src/coordination/gateway/gateway_stages.cc
+++ b/src/coordination/gateway/gateway_stages.cc
@@ -34,8 +34,8 @@
   return largest == count.end() ? std::string() : largest->first;
 }
 
-// Transfers between failure domains are charged by their size. Small results
-// are not worth a preference.
+// Transfers between failure domains are charged by their size. For small
+// results no failure domain is preferred.
 std::string Gateway::Impl::PreferredDomain(const ServingRequest& request,
                                            std::uint32_t stage) const {
   constexpr std::uint64_t kMinRelevantBytes = 32 << 10;
--- a/src/coordination/interface/breaker.h
+++ b/src/coordination/interface/breaker.h
@@ -49,6 +49,8 @@
   // addition of up to the same length. 380 entries then make at most 760
   // calls/s, a third of the reads that the platform can serve.
   static constexpr DurationUs kProbeInterval = 500 * kMillisecond;
+  // Maximum of the limit on concurrent calls, which is lowered while the
+  // platform is slow.
   static constexpr int kMaxConcurrentCalls = 64;
 
   explicit Breaker(Random* random) : random_(random) {}
--- a/src/coordination/interface/claims.cc
+++ b/src/coordination/interface/claims.cc
@@ -445,7 +445,7 @@
 }
 
 // Handles the result of an outcome's write. If that write has no answer, or the
-// claim's write is applied after its request was given up, the row would stay
+// claim's write is applied after its request was abandoned, the row would stay
 // "claimed" for ever and its callers would receive "may have run", though the
 // answer was given or nothing ran. So the outcome is retried until it is
 // confirmed; each write is conditional on the version it replaces, so a delayed
--- a/src/coordination/interface/quarantine.cc
+++ b/src/coordination/interface/quarantine.cc
@@ -13,6 +13,7 @@
 // Maximum number of crashes listed in a record; more do not help an operator.
 constexpr std::size_t kMaxCrashesPerRecord = 4;
 
+// Longer account names are truncated in a record.
 constexpr std::size_t kMaxAccountBytes = 64;
 
 // Lifetime of a record by its state. A cleared record outlives every suspicion
--- a/src/coordination/membership/gateway_join.h
+++ b/src/coordination/membership/gateway_join.h
@@ -44,6 +44,7 @@
   // after a network partition that lasted longer than
   // `GatewayPeers::kPeerRemovalTimeout`.
   static constexpr DurationUs kReadPeriod = 30 * kSecond;
+  // Delay until a failed read or write of the table is repeated.
   static constexpr DurationUs kRetryDelay = 500 * kMillisecond;
   // Time limit for the answer with the rows, after which they are requested
   // again.
--- a/src/coordination/membership/membership.cc
+++ b/src/coordination/membership/membership.cc
@@ -8,7 +8,8 @@
 
 // Time for which an answer to another entry's request is still useful.
 constexpr DurationUs kHelpRequestTimeout = kSecond;
-// A sidecar that answered within this time is not probed for another entry.
+// If another entry asks about a sidecar that this entry had contact with within
+// this time, it is answered without a probe.
 constexpr DurationUs kRecentContactMaxAge = kSecond;
 
 }  // namespace
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -11,7 +11,7 @@
 // datagrams are distinguished from a dead host by number and not by waiting. A
 // sidecar that does not answer becomes suspected: it gets no new work over that
 // path, and two other entries are asked whether they reach it. Only if none
-// does is it dead, and its attempts are given up. A host list that is up to 30
+// does is it dead, and its attempts are abandoned. A host list that is up to 30
 // s late adds the hint that a host leaves; it neither revives a sidecar nor
 // marks one as dead.
 //
@@ -66,12 +66,15 @@
   // probes into `kSuspectTimeout`. With a fifth of the datagrams lost, 0.36 of
   // the exchanges fail, and twelve in a row fail five times in a million.
   static constexpr DurationUs kProbeRetryDelay = 100 * kMillisecond;
+  // Time since the first unanswered probe after which a sidecar is suspected.
   static constexpr DurationUs kSuspectTimeout = 1200 * kMillisecond;
-  // Time since the last contact, direct or through another entry, after which a
-  // suspected sidecar is dead.
+  // Time after which a suspected sidecar is dead, counted from the suspicion or
+  // from a later contact, direct or through another entry.
   static constexpr DurationUs kDeadTimeout = 2 * kSecond;
   // Number of entries that are asked at a time about a suspected sidecar.
   static constexpr std::size_t kHelpersPerRequest = 2;
+  // Period at which `kHelpersPerRequest` entries are asked about each suspected
+  // sidecar.
   static constexpr DurationUs kHelpRequestPeriod = 500 * kMillisecond;
   // Delay of the host list; see docs/PLATFORM.md.
   static constexpr DurationUs kMaxHostListLag = 30 * kSecond;
--- a/src/coordination/settings/settings_freshness.h
+++ b/src/coordination/settings/settings_freshness.h
@@ -1,4 +1,4 @@
-// Interface that tells whether a node can prove that its settings are in force.
+// Interface to check whether a node can prove that its settings are in force.
 #ifndef ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_FRESHNESS_H_
 #define ACACIACHUTE_SRC_COORDINATION_SETTINGS_SETTINGS_FRESHNESS_H_
 
--- a/src/coordination/settings/settings_sync.h
+++ b/src/coordination/settings/settings_sync.h
@@ -1,19 +1,19 @@
 // Keeps an entry's settings tree synchronized with the platform's table and
-// with the other entries, and tells whether the entry can prove that its
+// with the other entries, and reports whether the entry can prove that its
 // settings are in force.
 //
 // There are 380 entries and 1,100 changes a day, each to be in force everywhere
 // within 5 s. If every entry polled the table each second, that would take 380
 // of its 2,000 reads/s. Instead three entries read it; the others send gossip
 // requests to a few random peers (an epidemic protocol) and pull branch bodies
-// over TCP. An entry without a recent proof for 2 to 3 s reads the table
-// itself, so no election is needed and the loss of all three readers costs two
-// seconds.
+// over TCP. An entry whose last proof is older than a random 1.5 to 3 s reads
+// the table itself, so no election is needed and the loss of all three readers
+// costs two seconds.
 //
 // A node's settings are current if it has a proof younger than
 // `kMaxSettingsAge`, one of
 //
-//   - a read of the table, by itself or a peer, that its versions include;
+//   - a read of the table, by this entry or a peer, that its versions include;
 //   - more than half of the witnesses (up to seven entries, the same ones for
 //     all) that had no newer version than this node.
 //
@@ -67,6 +67,7 @@
   // Half a second below the guaranteed 5 s: one gossip period, and the time in
   // which a request that was just admitted is sent to the upstream.
   static constexpr DurationUs kMaxSettingsAge = 4500 * kMillisecond;
+  // Number of entries that read the table regularly, and their read period.
   static constexpr int kReaders = 3;
   static constexpr DurationUs kTableReadPeriod = kSecond;
   // Minimum age of the proof, plus a random addition of up to the same length,
@@ -87,6 +88,8 @@
   // make 3 KB/s per node.
   static constexpr DurationUs kGossipPeriod = 300 * kMillisecond;
   static constexpr std::size_t kGossipFanout = 2;
+  // Timeout of a pull, maximum number of pulls in progress, and maximum size of
+  // one part of a pull's answer.
   static constexpr DurationUs kPullTimeout = kSecond;
   static constexpr std::size_t kMaxPullsInProgress = 2;
   static constexpr std::size_t kMaxPullPartBytes = 1 << 20;
--- a/src/coordination/settings/settings_write.cc
+++ b/src/coordination/settings/settings_write.cc
@@ -12,6 +12,7 @@
 
 using Json = nlohmann::json;
 
+// Number of digits of a version in the key of a history row.
 constexpr std::size_t kVersionDigits = 12;
 
 const StoreRow* FindRow(const std::vector<StoreRow>& rows,
--- a/src/coordination/sidecar/sidecar.cc
+++ b/src/coordination/sidecar/sidecar.cc
@@ -20,8 +20,9 @@
 constexpr DurationUs kTombstoneMargin = 5 * kSecond;
 
 // Maximum time that a non-idempotent call keeps its slot after its deadline. It
-// is not interrupted at the deadline, because the upstream would stop half-way
-// through an order; after this time the upstream is assumed to have lost it.
+// is not interrupted at the deadline, because the upstream would abort the call
+// and its effects would be incomplete; after this time the upstream is assumed
+// to have lost the call.
 constexpr DurationUs kMaxOverrunDuration = 30 * kSecond;
 
 // Maximum time for which slots are kept free for an isolated call. Calls behind
--- a/src/coordination/stages/piece_batcher.h
+++ b/src/coordination/stages/piece_batcher.h
@@ -79,7 +79,7 @@
   virtual ~PieceBatcherOutput() = default;
   virtual void StartCall(const PieceCall& call) = 0;
   virtual void OnPiece(const PieceResult& result) = 0;
-  // Tells `replica` to release these results.
+  // Sends `replica` a request to release these results.
   virtual void FreeAt(const Address& replica,
                       const std::vector<std::string>& handles) = 0;
   // All pieces that need these results are running and have read them.
@@ -123,9 +123,9 @@
   // call. While many pieces wait for memory, each replica with a little free
   // memory would otherwise scan all of them repeatedly.
   static constexpr std::size_t kMaxSkippedGroups = 64;
-  // Number of full calls' worth of pieces from which the pieces of one call are
-  // chosen: enough that a replica finds a full call among the pieces of four
-  // failure domains.
+  // The pieces of one call are chosen from the first waiting pieces, up to the
+  // number that this many full calls take: enough that a replica finds a full
+  // call among the pieces of four failure domains.
   static constexpr std::size_t kCandidateCalls = 4;
   // Period of the scan for expired waiting pieces and results.
   static constexpr DurationUs kExpiryScanPeriod = 50 * kMillisecond;
--- a/src/coordination/stages/queue_rate.h
+++ b/src/coordination/stages/queue_rate.h
@@ -15,6 +15,7 @@
 
 class QueueRate {
  public:
+  // Starts of pieces older than this are not counted in the rate.
   static constexpr DurationUs kRateWindow = 2 * kSecond;
   // Shortest observation from which a rate is computed.
   static constexpr DurationUs kMinRateWindow = 600 * kMillisecond;
--- a/src/coordination/tables/store_requests.h
+++ b/src/coordination/tables/store_requests.h
@@ -2,10 +2,10 @@
 //
 // A store may answer every request late, or a request may be lost with its
 // connection. A host that accepts the answer to one request only would then
-// either give up on a slow store, whose answers it would never use, or ask
-// again only after the time limit of the lost request. So a request is no
-// longer awaited after `FreshnessPlan::store_timeout`, or when a newer one
-// replaces it, but its answer is accepted until `kAnswerAcceptTimeout`.
+// either abandon the requests to a slow store, whose answers it would never
+// use, or ask again only after the time limit of the lost request. So a request
+// is no longer awaited after `FreshnessPlan::store_timeout`, or when a newer
+// one replaces it, but its answer is accepted until `kAnswerAcceptTimeout`.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
 
@@ -48,6 +48,8 @@
 
 class StoreRequests {
  public:
+  // Time limit for the store's answer, counted from the end of the time for
+  // which the store was asked to hold the request.
   static constexpr DurationUs kAnswerAcceptTimeout = 3 * kSecond;
   // Largest number of requests in flight. Beyond it the oldest, which a slow
   // store answers first, and the newest are kept.
--- a/src/ctl/load_commands.cc
+++ b/src/ctl/load_commands.cc
@@ -88,6 +88,7 @@
 }  // namespace
 
 void AddLoadCommands(CommandTable* table) {
+  // Maximum number of LOG arguments.
   constexpr std::size_t kMaxLogFiles = 10'000;
   table->insert(
       {{"load explain", {1, kMaxLogFiles, "load explain LOG...", Explain}}});
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -17,7 +17,9 @@
 // Timeout of a connection attempt to a replica. A healthy replica accepts
 // within a few ms; after this time a retry at another one is faster.
 constexpr DurationUs kConnectTimeout = 200 * kMillisecond;
+// Period of `Tick`.
 constexpr DurationUs kTickPeriod = 10 * kMillisecond;
+// Period of checks whether the host settings file has changed.
 constexpr DurationUs kSettingsCheckPeriod = kSecond;
 // Minimum duration of a drain. The balancer polls once per second and takes a
 // host out after two failed polls.
--- a/src/messages.h
+++ b/src/messages.h
@@ -119,7 +119,7 @@
 // Sent over UDP between entries, and between entries and sidecars. A heartbeat
 // whose `reply_to` is zero requests a reply, and the reply carries that
 // heartbeat's sequence number in `reply_to`, by which the receiver of the reply
-// can tell when it sent the request.
+// can derive when it sent the request.
 struct Heartbeat {
   Role role = Role::kEntry;
   NodeState state = NodeState::kStarting;
--- a/src/protocol/bearer.cc
+++ b/src/protocol/bearer.cc
@@ -7,6 +7,7 @@
 namespace acaciachute {
 namespace {
 
+// Longer tokens are rejected before they are hashed.
 constexpr std::size_t kMaxTokenBytes = 512;
 
 bool EqualInConstantTime(std::string_view a, std::string_view b) {
--- a/src/protocol/caller_http.cc
+++ b/src/protocol/caller_http.cc
@@ -42,6 +42,7 @@
   return *text == no ? std::optional<bool>(false) : std::nullopt;
 }
 
+// Maximum deadline that a caller may request.
 constexpr std::int64_t kMaxDeadlineMs = 600'000;
 
 bool IsUtf8(std::string_view text) {
--- a/src/protocol/http1.h
+++ b/src/protocol/http1.h
@@ -2,10 +2,10 @@
 //
 // If two programs parse one byte stream differently, part of one client's body
 // becomes the next client's request (request smuggling), and an upstream runs a
-// request that nobody sent. Heads that can be parsed in two ways are therefore
-// refused, and the request target is kept byte for byte, because a decoded or
-// normalized path is another path. Boost.Beast does the parsing; the checks
-// here refuse what Beast accepts although it is ambiguous.
+// request that no client sent. Heads that can be parsed in two ways are
+// therefore refused, and the request target is kept byte for byte, because a
+// decoded or normalized path is another path. Boost.Beast does the parsing; the
+// checks here refuse what Beast accepts although it is ambiguous.
 #ifndef ACACIACHUTE_SRC_PROTOCOL_HTTP1_H_
 #define ACACIACHUTE_SRC_PROTOCOL_HTTP1_H_
 
--- a/src/protocol/node_settings.cc
+++ b/src/protocol/node_settings.cc
@@ -13,6 +13,7 @@
 
 using Json = nlohmann::json;
 
+// Maximum length of an invalid value quoted in an error.
 constexpr std::size_t kMaxShownValueBytes = 80;
 
 std::string FoundValue(const Json& document, const std::string& pointer) {
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -3,13 +3,13 @@
 //
 // Outages of the store: replicas' rows expire in the store while it is away,
 // although the replicas run. If they were dropped when it returns, all requests
-// would be refused. Therefore an entry whose row is removed during an outage,
-// or shortly after it, stays in use until `kRelistTime` after the store's
-// return. Running replicas have written their rows again by then; the other
-// entries are removed. A row that marks its replica as leaving takes effect at
-// once, also during an outage. An outage begins only when the store fails to
-// answer a request of this host; at other times a removed row means that the
-// replica left.
+// would be refused. Therefore a directory entry whose row is removed during an
+// outage, or shortly after it, stays in use until `kRelistTime` after the
+// store's return. Running replicas have written their rows again by then; the
+// other directory entries are removed. A row that marks its replica as leaving
+// takes effect at once, also during an outage. An outage begins only when the
+// store fails to answer a request of this host; at other times a removed row
+// means that the replica left.
 //
 // Restarts: a replica may start again under the same name. Its new incarnation
 // must get work even if the previous one was leaving, and requests must not
@@ -80,7 +80,7 @@
 enum class DirectoryChange {
   kAdded,
   kLeaving,
-  kGone,
+  kGone,          // Its entry was removed.
   kRestarted,     // A later incarnation replaced this one.
   kKeptInOutage,  // Its row was removed, but the replica may still run.
   kUnreadable,    // Its row cannot be parsed; no new work until it can.
@@ -130,7 +130,7 @@
                const std::vector<std::string>& unreadable);
   // The store did not answer a request that was sent at `asked_at`.
   void OnStoreLost(TimeUs asked_at);
-  // The store answers.
+  // The store answers again after an outage.
   void OnStoreBack(TimeUs now);
   // Limits how long entries are kept after their rows were removed, counted
   // from the last request that the store did not answer.
--- a/src/state/replica_health.h
+++ b/src/state/replica_health.h
@@ -17,7 +17,7 @@
  public:
   // Weights of the newest call in the moving average of failures. A replica
   // that fails every call is excluded after three calls; one that fails 5 % of
-  // its calls is never excluded.
+  // its calls, evenly spread, is not.
   static constexpr double kFailureWeight = 0.25;
   static constexpr double kSuccessWeight = 0.25;
   // Failure rate from which a replica is excluded.
--- a/src/state/replica_table.h
+++ b/src/state/replica_table.h
@@ -39,6 +39,7 @@
   // The values of the previous two when the last report arrived.
   std::uint32_t own_at_report = 0;
   std::uint32_t own_urgent_at_report = 0;
+  // The part of `PoolLoad`'s sums that is from this replica.
   ReplicaLoad counted;
   bool in_subset = false;  // Whether this entry sends calls to the replica.
   ReplicaHealth health;
--- a/src/state/settings.cc
+++ b/src/state/settings.cc
@@ -11,6 +11,7 @@
 
 using Json = nlohmann::json;
 
+// Upper limit of an event's `max_deadline_ms`.
 constexpr std::int64_t kMaxDeadlineMs = 600'000;
 
 // Reads typed members of a JSON object. Keeps the first error, with the path of
--- a/src/transport/http_channels.h
+++ b/src/transport/http_channels.h
@@ -98,7 +98,7 @@
   void SetReading(CallId id, bool reading);
   // Closes the idle connections to an address, whose process has ended.
   void DropIdle(const Address& address);
-  std::size_t open() const;
+  std::size_t open() const;      // Open connections.
   std::uint64_t opened() const;  // Connections opened since construction.
 
  private:
--- a/src/transport/http_connection.h
+++ b/src/transport/http_connection.h
@@ -55,8 +55,8 @@
   HttpExchange(const HttpExchange&) = delete;
   HttpExchange& operator=(const HttpExchange&) = delete;
 
-  // Runs `task` once when the client disconnects. libsoup does not notice this
-  // by itself, as it does not read from the socket of a paused message.
+  // Runs `task` once when the client disconnects. libsoup alone does not notice
+  // this, as it does not read from the socket of a paused message.
   void OnHangUp(std::function<void()> task);
 
   SoupServerMessage* message() const { return message_.get(); }
--- a/src/transport/http_listener.cc
+++ b/src/transport/http_listener.cc
@@ -22,6 +22,7 @@
 constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
 // How often the time limits are checked; the limits are seconds long.
 constexpr DurationUs kSweepPeriod = 250 * kMillisecond;
+// Maximum number of connections waiting to be accepted; see http_server.cc.
 constexpr int kListenBacklog = 1024;
 
 bool HasNoBody(int status) {
--- a/src/transport/http_listener.h
+++ b/src/transport/http_listener.h
@@ -48,10 +48,11 @@
   virtual void OnRequest(ExchangeId id,
                          HttpRequestHead head,
                          std::string body) = 0;
+  // The client closed its connection before its answer was complete.
   virtual void OnGone(ExchangeId id) = 0;
   // Everything written for `id` has been passed to the kernel.
   virtual void OnWritten(ExchangeId id) = 0;
-  // The listener refused a request or a connection by itself.
+  // The listener refused a request or a connection without passing it on.
   virtual void OnListenerEvent(const ListenerEvent& event) = 0;
 };
 
--- a/src/transport/log_writer.h
+++ b/src/transport/log_writer.h
@@ -1,4 +1,4 @@
-// Writes structured log lines, one JSON object each, to standard output.
+// Writes structured log lines, one JSON object each, to a file descriptor.
 //
 // If the reader of the log stalls, or a burst of refusals writes more than it
 // can read, a blocking write would stop the process. So the descriptor is
--- a/src/transport/trace_log.h
+++ b/src/transport/trace_log.h
@@ -14,7 +14,8 @@
 
 class TraceLog {
  public:
-  // Maximum number of spans kept; a few seconds' worth at the present load.
+  // Maximum number of spans kept; the spans of a few seconds at the present
+  // load.
   static constexpr std::size_t kMaxSpans = 4096;
 
   explicit TraceLog(NodeId node) : node_(std::move(node)) {}
--- a/src/types.h
+++ b/src/types.h
@@ -25,8 +25,8 @@
 using NodeId = std::string;
 
 // Identifies one run of a process. It is drawn at random at the start, so that
-// successive processes with the same NodeId can be told apart. Zero: not known
-// yet.
+// successive processes with the same NodeId can be distinguished. Zero: not
+// known yet.
 using Incarnation = std::uint64_t;
 
 // The IP address and port on which a process listens.
--- a/tests/gateway/freshness_test.cc
+++ b/tests/gateway/freshness_test.cc
@@ -46,8 +46,9 @@
       20 * kSecond);
 }
 
-// Guards against a gateway that reaches the store but uses a list of any age,
-// because the gateway that it asks has lost the store without noticing.
+// Guards against a gateway that reaches the store but uses a replica list
+// without a limit on its age, because the gateway that it asks has lost the
+// store without noticing.
 TEST(FreshnessTest, AListIsYoungAlthoughTheRelayLostTheStore) {
   TableNet net(23, 4);
   net.Run(5 * kSecond);
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -464,7 +464,7 @@
 }
 
 // An idempotent request is lost at the only replica, which may have run it, and
-// there is no other replica. The client must not be told that the request did
+// there is no other replica. The refusal must not state that the request did
 // not run.
 TEST(GatewayTest, DoesNotSayNotRunAfterATryThatMayHaveRun) {
   GatewayRig rig;
@@ -477,8 +477,8 @@
 
 // A replica crashes during a network partition and restarts under the same
 // name, so nothing closes its old connections. An idempotent request is sent
-// again at once; the client of a non-idempotent one is told that it may have
-// run.
+// again at once; a non-idempotent request is refused with the verdict that it
+// may have run.
 TEST(GatewayTest, EndsWhatAnIncarnationHadWhenItsReplicaStartsAgain) {
   GatewayRig rig;
   rig.AddReplica({"r", 5}, "app");
--- a/tests/gateway/peer_net.h
+++ b/tests/gateway/peer_net.h
@@ -34,7 +34,7 @@
   // Whether a datagram between two nodes, given by index, is lost.
   using LossFn = std::function<bool(std::size_t from, std::size_t to)>;
 
-  // The first `large` of `n` nodes have half a core, the others a tenth.
+  // The first `large` of `n` nodes have half a core, the others 0.09 of a core.
   PeerNet(std::size_t n, std::size_t large) {
     for (std::size_t i = 0; i < n; ++i) {
       nodes_.push_back(std::make_unique<Node>("g" + std::to_string(i),
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -460,9 +460,9 @@
 }
 
 // A replica crashes with a call whose inputs were released. If the pieces were
-// sent again, they would wait in the queue only to find their inputs gone. So
-// the request is notified at once and starts its stages again. A slow call is
-// waited for, as it has its inputs.
+// sent again, they would wait in the queue although their inputs no longer
+// exist. So the request is notified at once and starts its stages again. A slow
+// call is waited for, as it has its inputs.
 TEST(PieceBatcherTest, ReportsAtOnceThatInputsAreGoneWhenTheirCallBreaks) {
   BatcherRig rig;
   rig.AddReplicas(2);
--- a/tests/gateway/transport_test.cc
+++ b/tests/gateway/transport_test.cc
@@ -284,7 +284,7 @@
   EXPECT_EQ(sink.failure->kind, CallFailureKind::kTimeout);
 }
 
-// A replica that answers before it has read the whole request continues to
+// A replica that answers before it has read the complete request continues to
 // read; it must read the remainder of that request, not the next one.
 TEST(HttpChannelsTest, SendsTheRestOfABodyAfterAnEarlyAnswer) {
   Loop loop;
@@ -539,8 +539,8 @@
   EXPECT_TRUE(Contains(rig.received, "ok"));
 }
 
-// If nobody reads the log, writing does not block; dropped lines are counted
-// and reported once the buffer has space again.
+// If the log is not read, writing does not block; dropped lines are counted and
+// reported once the buffer has space again.
 TEST(LogWriterTest, NeverBlocksAndTellsWhatItDropped) {
   Loop loop;
   std::array<int, 2> ends{};
--- a/tests/load_decisions_test.cc
+++ b/tests/load_decisions_test.cc
@@ -126,7 +126,7 @@
 }
 
 // The only replica of a pool fails some calls and recovers. It must still get
-// first attempts while it is shunned: otherwise callers would be refused until
+// first attempts while it is excluded: otherwise callers would be refused until
 // the next probe, and forever in a pool that gets only non-idempotent calls,
 // which are never probes. Retries still avoid it.
 TEST(RouterTest, OnlyReplicaIsUsedThoughShunned) {
