--- a/src/coordination/stages/stage_replicas.cc
+++ b/src/coordination/stages/stage_replicas.cc
@@ -185,11 +185,11 @@
   }
 }
 
-void StageReplicas::Hold(TimeUs now,
-                         const ReplicaId& id,
-                         const std::string& handle,
-                         std::uint64_t bytes) {
-  held_[handle] = {id, bytes, now + limits_.result_lifetime};
+void StageReplicas::AddResult(TimeUs now,
+                              const ReplicaId& id,
+                              const std::string& handle,
+                              std::uint64_t bytes) {
+  results_[handle] = {id, bytes, now + limits_.result_lifetime};
   Reserve(id, bytes);
 }
 
