--- a/src/coordination/admission/load_control.cc
+++ b/src/coordination/admission/load_control.cc
@@ -40,7 +40,7 @@
     pool->subset.clear();
   }
   for (Replica* replica : replicas_->All()) {
-    replica->counted = {};
+    replica->counted_load = {};
     replica->in_subset = false;
     PoolNamed(replica->pool);
   }
@@ -65,7 +65,7 @@
 void LoadControl::OnReport(Replica* replica) {
   replica->own_at_report = replica->own_in_progress;
   replica->own_urgent_at_report = replica->own_urgent;
-  replica->health.OnHeard();
+  replica->health.OnReport();
   Update(replica);
 }
 
@@ -104,7 +104,7 @@
   if (verdict.reason != Refusal::kNone) {
     return {verdict.reason,
             return_schedule_.Next(now, verdict.wait,
-                                  verdict.pool->load.CallTime())};
+                                  verdict.pool->load.MeanCompletionInterval())};
   }
   load->pipeline = pipeline;
   load->caller_class = caller_class;
@@ -171,7 +171,7 @@
   if (!load->started) {
     load->started = true;
     PoolNamed(replica->pool)->load.AddPending(load->caller_class, -1);
-    retry_budget_.OnFirstTry();
+    retry_budget_.OnFirstAttempt();
   }
   ++replica->own_in_progress;
   replica->own_urgent += load->caller_class == CallerClass::kUrgent ? 1 : 0;
--- a/src/coordination/admission/pool_load.cc
+++ b/src/coordination/admission/pool_load.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 void PoolLoad::Update(Replica* replica) {
-  ReplicaLoad& counted = replica->counted;
+  ReplicaLoad& counted_load = replica->counted_load;
   const auto apply = [this](const ReplicaLoad& it, int sign) {
     replicas_ += sign * (it.slots > 0 ? 1 : 0);
     slots_ += sign * it.slots;
@@ -34,26 +34,26 @@
     own_ += sign * it.own;
     own_urgent_ += sign * it.own_urgent;
   };
-  apply(counted, -1);
-  counted = {};
+  apply(counted_load, -1);
+  counted_load = {};
   if (replica->TakesWork()) {
     const LoadReport& load = replica->load;
-    counted.slots = std::max<std::int64_t>(1, load.limit);
+    counted_load.slots = std::max<std::int64_t>(1, load.limit);
     // A replica without a known service time counts as fast as the others. If
     // no replica of the pool has one, the wait is unknown and no request is
     // refused for it.
     if (load.service_us > 0) {
-      counted.known_slots = counted.slots;
-      counted.rate = static_cast<std::int64_t>(
-          static_cast<double>(counted.slots) * kRateScale * kSecond /
+      counted_load.known_slots = counted_load.slots;
+      counted_load.rate = static_cast<std::int64_t>(
+          static_cast<double>(counted_load.slots) * kRateScale * kSecond /
           static_cast<double>(load.service_us));
     }
-    counted.others = replica->OthersWork();
-    counted.others_urgent = replica->OthersUrgent();
-    counted.own = replica->own_in_progress;
-    counted.own_urgent = replica->own_urgent;
+    counted_load.others = replica->OthersWork();
+    counted_load.others_urgent = replica->OthersUrgent();
+    counted_load.own = replica->own_in_progress;
+    counted_load.own_urgent = replica->own_urgent;
   }
-  apply(counted, 1);
+  apply(counted_load, 1);
 }
 
 void PoolLoad::Clear() {
@@ -74,7 +74,7 @@
                                      static_cast<double>(own_));
 }
 
-double PoolLoad::CallTime() const {
+double PoolLoad::MeanCompletionInterval() const {
   if (!known()) {
     return 0;
   }
@@ -101,17 +101,20 @@
     // If all slots are in use, an urgent call gets the next slot that is
     // released.
     const double slot_wait =
-        all >= slots ? CallTime() * static_cast<double>(replicas_) : 0;
-    return static_cast<DurationUs>(
-        std::max(0.0, urgent + 1 - slots) * CallTime() + slot_wait);
+        all >= slots ? MeanCompletionInterval() * static_cast<double>(replicas_)
+                     : 0;
+    return static_cast<DurationUs>(std::max(0.0, urgent + 1 - slots) *
+                                       MeanCompletionInterval() +
+                                   slot_wait);
   }
   const double patient_share = std::max(kMinPatientShare, 1 - urgent_share_);
-  return static_cast<DurationUs>(std::max(0.0, all + 1 - slots) * CallTime() /
-                                 patient_share);
+  return static_cast<DurationUs>(std::max(0.0, all + 1 - slots) *
+                                 MeanCompletionInterval() / patient_share);
 }
 
 DurationUs PoolLoad::MeanService() const {
-  return static_cast<DurationUs>(CallTime() * static_cast<double>(slots_));
+  return static_cast<DurationUs>(MeanCompletionInterval() *
+                                 static_cast<double>(slots_));
 }
 
 }  // namespace acaciachute
--- a/src/coordination/admission/pool_load.h
+++ b/src/coordination/admission/pool_load.h
@@ -47,7 +47,7 @@
   DurationUs MeanService() const;
   // Mean time between two completions of the pool as a whole when it is busy,
   // in microseconds.
-  double CallTime() const;
+  double MeanCompletionInterval() const;
 
  private:
   // Rates are integers in units of 1/kRateScale calls per second, so that sums
--- a/src/coordination/admission/retry_budget.h
+++ b/src/coordination/admission/retry_budget.h
@@ -14,13 +14,13 @@
 class RetryBudget {
  public:
   // Retry tokens earned per first attempt.
-  static constexpr double kTokensPerFirstTry = 0.1;
+  static constexpr double kTokensPerFirstAttempt = 0.1;
   // Limit on the stored tokens; lets an entry with little traffic still retry a
   // handful of requests at once.
   static constexpr double kMaxTokens = 20;
 
-  void OnFirstTry() {
-    tokens_ = std::min(kMaxTokens, tokens_ + kTokensPerFirstTry);
+  void OnFirstAttempt() {
+    tokens_ = std::min(kMaxTokens, tokens_ + kTokensPerFirstAttempt);
   }
   bool Take() {
     if (tokens_ < 1) {
--- a/src/coordination/admission/return_schedule.h
+++ b/src/coordination/admission/return_schedule.h
@@ -26,12 +26,12 @@
   static constexpr DurationUs kMinRetryAfter = kSecond;
 
   // Returns the Retry-After of a caller refused now. `wait` is the minimum
-  // duration of the shortage, `call_time` the time in which the pool serves one
-  // more request, in microseconds.
-  DurationUs Next(TimeUs now, DurationUs wait, double call_time) {
+  // duration of the shortage, `completion_interval` the time in which the pool
+  // serves one more request, in microseconds.
+  DurationUs Next(TimeUs now, DurationUs wait, double completion_interval) {
     const TimeUs earliest = now + std::max(kMinRetryAfter, wait);
     last_return_at_ = std::max(last_return_at_, earliest) +
-                      static_cast<DurationUs>(call_time);
+                      static_cast<DurationUs>(completion_interval);
     if (last_return_at_ - now <= kMaxRetryAfter) {
       return last_return_at_ - now;
     }
--- a/src/coordination/choice/cold_replica_limiter.cc
+++ b/src/coordination/choice/cold_replica_limiter.cc
@@ -17,7 +17,7 @@
   services_.clear();
   for (const auto& [name, service] : config.services()) {
     if (service.cold_rate > 0) {
-      const double bound = service.cold_rate * bound_.over + bound_.slack;
+      const double bound = service.cold_rate * bound_.factor + bound_.slack;
       services_[name] = {bound, service.cold_start};
     }
   }
@@ -59,7 +59,7 @@
          now < ColdUntil(replica, *limits) + kWarmUpDuration;
 }
 
-bool ColdReplicaLimiter::Takes(TimeUs now, const ReplicaEntry& replica) {
+bool ColdReplicaLimiter::MaySend(TimeUs now, const ReplicaEntry& replica) {
   if (!IsBounded(now, replica)) {
     return true;
   }
--- a/src/coordination/choice/cold_replica_limiter.h
+++ b/src/coordination/choice/cold_replica_limiter.h
@@ -66,7 +66,7 @@
   // as known here, or still warming up.
   bool IsBounded(TimeUs now, const ReplicaEntry& replica) const;
   // Whether one more request may be sent to the replica now.
-  bool Takes(TimeUs now, const ReplicaEntry& replica);
+  bool MaySend(TimeUs now, const ReplicaEntry& replica);
 
   // A request was sent to the replica.
   void OnSent(const ReplicaEntry& replica);
@@ -75,7 +75,8 @@
   void OnArrived(TimeUs now, const ReplicaEntry& replica);
   // No byte of the request was sent.
   void OnNotSent(const ReplicaEntry& replica);
-  void OnReplicaGone(const ReplicaId& replica) {
+  // The replica was removed or restarted.
+  void OnReplicaRemoved(const ReplicaId& replica) {
     recent_requests_.erase(replica);
   }
 
--- a/src/coordination/choice/engine_choice.cc
+++ b/src/coordination/choice/engine_choice.cc
@@ -113,18 +113,18 @@
                                          const std::vector<ReplicaId>& tried,
                                          bool may_repeat) {
   const ReplicaEntry* best = nullptr;
-  const ReplicaEntry* shunned = nullptr;
+  const ReplicaEntry* avoided = nullptr;
   double best_score = 0;
   std::uint64_t ties = 0;
   const Homes homes = HomesOf(service, request);
   for (const ReplicaEntry* it : directory_->Of(service)) {
     if (std::find(tried.begin(), tried.end(), it->id) != tried.end() ||
-        !cold_->Takes(now, *it)) {
+        !cold_->MaySend(now, *it)) {
       continue;
     }
     const Engine& engine = engines_[it->id];
-    if (!engine.health.Takes(now, may_repeat)) {
-      shunned = it;
+    if (!engine.health.AcceptsCall(now, may_repeat)) {
+      avoided = it;
       continue;
     }
     const double score = Score(*it, engine, request, homes);
@@ -138,7 +138,7 @@
       best = it;
     }
   }
-  return best != nullptr ? best : shunned;
+  return best != nullptr ? best : avoided;
 }
 
 void EngineChoice::OnSent(const ReplicaId& replica,
@@ -186,7 +186,7 @@
   engines_[replica].health.OnFailure(now);
 }
 
-void EngineChoice::OnReplicaGone(const ReplicaId& replica) {
+void EngineChoice::OnReplicaRemoved(const ReplicaId& replica) {
   engines_.erase(replica);
 }
 
--- a/src/coordination/choice/engine_choice.h
+++ b/src/coordination/choice/engine_choice.h
@@ -101,14 +101,17 @@
                bool read);
   void OnSuccess(const ReplicaId& replica);
   void OnFailure(TimeUs now, const ReplicaId& replica);
-  void OnReplicaGone(const ReplicaId& replica);
+  // The replica was removed or restarted.
+  void OnReplicaRemoved(const ReplicaId& replica);
 
   // Sets the load that the gateway `from` causes at the engines, replacing its
   // previous report.
   void SetPeerLoads(const NodeId& from,
                     const std::map<ReplicaId, EngineLoad>& loads);
   // Load of this gateway's own requests by engine.
-  const std::map<ReplicaId, EngineLoad>& own() const { return own_loads_; }
+  const std::map<ReplicaId, EngineLoad>& own_loads() const {
+    return own_loads_;
+  }
 
  private:
   struct Engine {
--- a/src/coordination/choice/plain_choice.cc
+++ b/src/coordination/choice/plain_choice.cc
@@ -43,16 +43,16 @@
                                         const std::vector<ReplicaId>& tried,
                                         bool may_repeat) {
   const ReplicaEntry* best = nullptr;
-  const ReplicaEntry* shunned = nullptr;
+  const ReplicaEntry* avoided = nullptr;
   double best_score = 0;
   for (const ReplicaEntry* it : directory_->Of(service)) {
     if (std::find(tried.begin(), tried.end(), it->id) != tried.end() ||
-        !cold_->Takes(now, *it)) {
+        !cold_->MaySend(now, *it)) {
       continue;
     }
     ReplicaHealth& health = states_[it->id].health;
-    if (!health.Takes(now, may_repeat)) {
-      shunned = it;
+    if (!health.AcceptsCall(now, may_repeat)) {
+      avoided = it;
       continue;
     }
     if (health.probing(now)) {
@@ -69,7 +69,7 @@
       best_score = score;
     }
   }
-  return best != nullptr ? best : shunned;
+  return best != nullptr ? best : avoided;
 }
 
 void PlainChoice::OnSent(TimeUs now, const ReplicaId& replica) {
@@ -103,7 +103,7 @@
   }
 }
 
-void PlainChoice::OnReplicaGone(const ReplicaId& replica) {
+void PlainChoice::OnReplicaRemoved(const ReplicaId& replica) {
   states_.erase(replica);
 }
 
--- a/src/coordination/choice/plain_choice.h
+++ b/src/coordination/choice/plain_choice.h
@@ -54,9 +54,10 @@
   void OnAnswer(TimeUs now, const ReplicaId& replica, TimeUs sent_at);
   void OnFailure(TimeUs now, const ReplicaId& replica);
   void OnEnded(const ReplicaId& replica, TimeUs sent_at);
-  void OnReplicaGone(const ReplicaId& replica);
+  // The replica was removed or restarted.
+  void OnReplicaRemoved(const ReplicaId& replica);
   // Typical recent answer time over all replicas; a basis for hedging.
-  DurationUs Typical() const {
+  DurationUs TypicalAnswerTime() const {
     return static_cast<DurationUs>(typical_answer_time_);
   }
 
--- a/src/coordination/choice/router.cc
+++ b/src/coordination/choice/router.cc
@@ -30,15 +30,15 @@
                         CallerClass caller_class,
                         bool idempotent) {
   candidates_.clear();
-  shunned_.clear();
+  avoided_.clear();
   for (Replica* it : pool) {
     const bool already_tried =
         std::find(tried.begin(), tried.end(), it->address.node) != tried.end();
     if (already_tried || !it->TakesWork() || !it->health.reachable()) {
       continue;
     }
-    if (!it->health.Takes(now, idempotent)) {
-      shunned_.push_back(it);
+    if (!it->health.AcceptsCall(now, idempotent)) {
+      avoided_.push_back(it);
       continue;
     }
     if (it->health.probing(now)) {
@@ -48,7 +48,7 @@
     candidates_.push_back(it);
   }
   if (candidates_.empty() && tried.empty()) {
-    candidates_.swap(shunned_);
+    candidates_.swap(avoided_);
   }
   Replica* best = nullptr;
   double best_score = 0;
--- a/src/coordination/choice/router.h
+++ b/src/coordination/choice/router.h
@@ -43,7 +43,7 @@
   Random* const random_;
   // Members only to reuse their memory between calls.
   std::vector<Replica*> candidates_;
-  std::vector<Replica*> shunned_;
+  std::vector<Replica*> avoided_;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/control/fence.cc
+++ b/src/coordination/control/fence.cc
@@ -76,7 +76,7 @@
     return Refusal::kFenced;
   }
   const bool newer_than_start =
-      upstream_keeps_numbers_ ||
+      upstream_enforces_fence_ ||
       order.fence > fence_at_start_.value_or(order.fence);
   if (!upstream_known_ || !newer_than_start || order.fence > fence_in_force_) {
     return Refusal::kNotCurrent;
@@ -116,9 +116,9 @@
   output_->ForwardOrder(order);
 }
 
-void FenceGuard::OnUpstreamFence(bool keeps_numbers, FenceNumber number) {
+void FenceGuard::OnUpstreamFence(bool enforces_fence, FenceNumber number) {
   upstream_known_ = true;
-  upstream_keeps_numbers_ = keeps_numbers;
+  upstream_enforces_fence_ = enforces_fence;
   RaiseFence(number);
 }
 
--- a/src/coordination/control/fence.h
+++ b/src/coordination/control/fence.h
@@ -77,9 +77,9 @@
   void OnLease(TimeUs now,
                std::uint64_t ticket,
                std::optional<FenceNumber> number);
-  // `keeps_numbers`: the upstream checks fencing numbers and remembers order
+  // `enforces_fence`: the upstream checks fencing numbers and remembers order
   // ids.
-  void OnUpstreamFence(bool keeps_numbers, FenceNumber number);
+  void OnUpstreamFence(bool enforces_fence, FenceNumber number);
   void OnOutcome(TimeUs now,
                  const std::string& order_id,
                  OrderOutcome outcome,
@@ -107,7 +107,7 @@
   // Number in force when this process started.
   std::optional<FenceNumber> fence_at_start_;
   bool upstream_known_ = false;
-  bool upstream_keeps_numbers_ = false;
+  bool upstream_enforces_fence_ = false;
   // The first order is being checked or is in progress at the upstream.
   std::deque<WaitingOrder> waiting_;
   bool order_in_progress_ = false;
--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -107,8 +107,8 @@
                            int status) {
   CancelAttempt(request);
   if (!request->route->stages.empty()) {
-    dispatcher->Drop(request->call.id);
-    dispatcher->Free(request->progress.TakeAll());
+    dispatcher->CancelRequest(request->call.id);
+    dispatcher->ReleaseResults(request->progress.TakeAll());
   }
   const TimeUs now = output->Now();
   metrics->Count("acaciachute_gateway_requests_total", outcome);
@@ -219,13 +219,13 @@
 
 void Gateway::OnReplica(const ReplicaEntry& replica, DirectoryChange change) {
   const bool restarted = change == DirectoryChange::kRestarted;
-  if (!restarted && change != DirectoryChange::kGone) {
+  if (!restarted && change != DirectoryChange::kRemoved) {
     return;
   }
-  impl_->cold.OnReplicaGone(replica.id);
-  impl_->engines.OnReplicaGone(replica.id);
+  impl_->cold.OnReplicaRemoved(replica.id);
+  impl_->engines.OnReplicaRemoved(replica.id);
   for (auto& [service, choice] : impl_->plain_choices) {
-    choice->OnReplicaGone(replica.id);
+    choice->OnReplicaRemoved(replica.id);
   }
   if (restarted) {
     impl_->FailAttemptsAt(replica.id);
@@ -253,7 +253,7 @@
   impl_->Admit(id, std::move(call));
 }
 
-void Gateway::OnGone(ExchangeId id) {
+void Gateway::OnClientDisconnected(ExchangeId id) {
   if (auto* request = impl_->FindByExchange(id)) {
     impl_->Finish(request, Name(Refusal::kCancelled), 0);
   }
@@ -301,14 +301,14 @@
   const auto it = impl_->by_request_id.find(result.key.request);
   if (it == impl_->by_request_id.end()) {
     if (!result.handle.empty()) {
-      impl_->dispatcher->Free({result.handle});
+      impl_->dispatcher->ReleaseResults({result.handle});
     }
     return;
   }
   ServingRequest* request = it->second;
   impl_->metrics->Count("acaciachute_gateway_pieces_total",
                         Name(result.outcome));
-  if (result.outcome == PieceOutcome::kInputGone) {
+  if (result.outcome == PieceOutcome::kInputMissing) {
     impl_->RestartStages(
         request, StrCat("stage ", result.key.stage, " found a result gone"));
     return;
@@ -325,7 +325,7 @@
     request->stage_times += StrCat(request->stage_times.empty() ? "" : " ",
                                    result.key.stage, ":", after / kMillisecond);
   }
-  impl_->dispatcher->Free(request->progress.TakeUnneeded());
+  impl_->dispatcher->ReleaseResults(request->progress.TakeUnneeded());
   impl_->RunStages(request);
 }
 
--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -156,7 +156,7 @@
   // A client's request arrived.
   void OnCall(ExchangeId id, ClientRequest call);
   // The client closed its connection.
-  void OnGone(ExchangeId id);
+  void OnClientDisconnected(ExchangeId id);
   // Bytes queued for the client were written; reading from the replica may
   // resume.
   void OnWritten(ExchangeId id);
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -327,10 +327,10 @@
 
 DurationUs Gateway::Impl::RetryAfter(const ServingRequest& request) {
   // Random spread, so that clients refused together do not retry together.
-  constexpr DurationUs kMinRetryAfter = 300 * kMillisecond;
+  constexpr DurationUs kBaseRetryAfter = 300 * kMillisecond;
   constexpr DurationUs kRetryAfterSpread = 700 * kMillisecond;
   const DurationUs wait =
-      kMinRetryAfter +
+      kBaseRetryAfter +
       static_cast<DurationUs>(random->Below(kRetryAfterSpread));
   const DurationUs left = request.first_response_by - output->Now();
   return left > wait ? wait : 0;
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -173,7 +173,7 @@
     engines.OnFirstEvent(attempt.replica.id, request->ForEngine());
     // The replica fetched its inputs before it read the prompt, so they can be
     // released.
-    dispatcher->Free(request->progress.TakeAll());
+    dispatcher->ReleaseResults(request->progress.TakeAll());
   }
   if (!request->stream_begun) {
     request->stream_begun = true;
--- a/src/coordination/gateway/gateway_stages.cc
+++ b/src/coordination/gateway/gateway_stages.cc
@@ -121,8 +121,8 @@
 // for it.
 void Gateway::Impl::RestartStages(ServingRequest* request,
                                   std::string_view why) {
-  dispatcher->Free(request->progress.TakeAll());
-  dispatcher->Drop(request->call.id);
+  dispatcher->ReleaseResults(request->progress.TakeAll());
+  dispatcher->CancelRequest(request->call.id);
   if (++request->restarts > kMaxStageRestarts) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
                      "results of stages were lost too often"});
--- a/src/coordination/interface/claim_batch.cc
+++ b/src/coordination/interface/claim_batch.cc
@@ -30,13 +30,14 @@
 }
 
 TimeUs ClaimBatch::NextWakeup() const {
-  return queue_.empty() || in_flight_ >= kMaxInFlight
+  return queue_.empty() || in_flight_ >= kMaxTransactionsInFlight
              ? std::numeric_limits<TimeUs>::max()
              : next_at_;
 }
 
 void ClaimBatch::Flush(TimeUs now) {
-  while (!queue_.empty() && in_flight_ < kMaxInFlight && next_at_ <= now) {
+  while (!queue_.empty() && in_flight_ < kMaxTransactionsInFlight &&
+         next_at_ <= now) {
     next_at_ =
         std::max(next_at_, now - kMaxBurstTransactions * period_) + period_;
     Send(now, TakeItems());
--- a/src/coordination/interface/claim_batch.h
+++ b/src/coordination/interface/claim_batch.h
@@ -34,7 +34,7 @@
 
   // Maximum number of transactions in flight; more would only queue at the
   // table.
-  static constexpr int kMaxInFlight = 4;
+  static constexpr int kMaxTransactionsInFlight = 4;
   // Maximum number of operations in one transaction.
   static constexpr std::size_t kMaxOpsPerTransaction = 256;
   // Maximum size of the keys and values in one transaction; docs/PLATFORM.md
--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -291,13 +291,13 @@
   ExportRequest(now, request, answer);
   const RequestId id = request.id;
   const CallerHandle handle = request.call.handle;
-  const bool gone = request.caller_gone;
+  const bool disconnected = request.caller_disconnected;
   load.OnRequestEnd(&request.load);
   deadlines.erase({request.deadline, id});
   by_handle.erase(handle);
   requests.erase(id);
   claims->End(now, id, answer);
-  if (!gone) {
+  if (!disconnected) {
     output->Answer(handle, answer);
   }
 }
@@ -387,13 +387,13 @@
 // Cancels the request through to the upstream, because no caller waits for it.
 // A non-idempotent request that may already run is finished instead, so that
 // the caller can retrieve its answer by the status call.
-void Entry::OnCallerGone(TimeUs now, CallerHandle handle) {
+void Entry::OnCallerDisconnected(TimeUs now, CallerHandle handle) {
   const auto it = impl_->by_handle.find(handle);
   if (it == impl_->by_handle.end()) {
     return;
   }
   EntryRequest& request = *impl_->requests[it->second];
-  request.caller_gone = true;
+  request.caller_disconnected = true;
   const bool running = request.attempt || request.may_have_run;
   if (request.call.idempotent || !running) {
     impl_->GiveUp(now, request, Refusal::kCancelled);
@@ -422,7 +422,7 @@
   replica->incarnation = incarnation;
   replica->state = heartbeat.state;
   replica->load = heartbeat.load;
-  replica->heard_at = now;
+  replica->last_report_at = now;
   impl_->quarantine.Merge(now, heartbeat.quarantined);
   impl_->load.OnReport(replica);
 }
--- a/src/coordination/interface/entry.h
+++ b/src/coordination/interface/entry.h
@@ -75,7 +75,7 @@
                 CallerHandle handle,
                 std::string_view account,
                 std::string_view key);
-  void OnCallerGone(TimeUs now, CallerHandle handle);
+  void OnCallerDisconnected(TimeUs now, CallerHandle handle);
   void OnMessage(TimeUs now, const NodeId& from, const Message& message);
   void OnHeartbeat(TimeUs now,
                    const NodeId& from,
--- a/src/coordination/interface/entry_request.h
+++ b/src/coordination/interface/entry_request.h
@@ -35,7 +35,7 @@
 struct EntryRequest {
   RequestId id;
   CallerRequest call;
-  bool caller_gone = false;
+  bool caller_disconnected = false;
   // Settings at the time of admission, used until the request ends.
   SettingsPtr settings;
   std::shared_ptr<const Event> event;
--- a/src/coordination/interface/pipeline.cc
+++ b/src/coordination/interface/pipeline.cc
@@ -197,7 +197,7 @@
   }
   if (answer.size() > request.streamed.size()) {
     const auto part = std::string_view(answer).substr(request.streamed.size());
-    if (!request.caller_gone) {
+    if (!request.caller_disconnected) {
       output_->StreamPart(request, part);
     }
     request.streamed += part;
--- a/src/coordination/interface/quarantine.cc
+++ b/src/coordination/interface/quarantine.cc
@@ -48,20 +48,21 @@
   return text;
 }
 
-bool Quarantine::IsExpired(TimeUs now, const Entry& entry) {
-  return now - entry.changed_at >=
-         kRecordLifetime[static_cast<std::size_t>(entry.quarantine_state)];
+bool Quarantine::IsExpired(TimeUs now, const RequestState& request_state) {
+  return now - request_state.changed_at >=
+         kRecordLifetime[static_cast<std::size_t>(
+             request_state.quarantine_state)];
 }
 
 QuarantineRecord Quarantine::ToRecord(TimeUs now,
                                       std::uint64_t fingerprint,
-                                      const Entry& entry) {
+                                      const RequestState& request_state) {
   return {fingerprint,
-          entry.epoch,
-          entry.quarantine_state,
-          now - entry.changed_at,
-          entry.account,
-          entry.crashed_at};
+          request_state.epoch,
+          request_state.quarantine_state,
+          now - request_state.changed_at,
+          request_state.account,
+          request_state.crashed_at};
 }
 
 QuarantineState Quarantine::Of(TimeUs now, std::uint64_t fingerprint) const {
@@ -85,17 +86,17 @@
   return text;
 }
 
-Quarantine::Entry& Quarantine::FindOrAdd(TimeUs now,
-                                         std::uint64_t fingerprint) {
+Quarantine::RequestState& Quarantine::FindOrAdd(TimeUs now,
+                                                std::uint64_t fingerprint) {
   const auto it = records_.find(fingerprint);
   if (it == records_.end()) {
     EvictIfFull(now);
   } else if (IsExpired(now, it->second)) {
     it->second = {};
   }
-  Entry& entry = records_[fingerprint];
-  entry.changed_at = now;
-  return entry;
+  RequestState& request_state = records_[fingerprint];
+  request_state.changed_at = now;
+  return request_state;
 }
 
 void Quarantine::OnCrash(TimeUs now,
@@ -116,22 +117,23 @@
                           const NodeId& node,
                           const Suspect& suspect,
                           bool alone) {
-  Entry& entry = FindOrAdd(now, suspect.fingerprint);
-  const bool elsewhere =
-      std::any_of(entry.crashed_at.begin(), entry.crashed_at.end(),
-                  [&](const NodeId& it) { return it != node; });
-  entry.quarantine_state = std::max(
-      entry.quarantine_state, alone && elsewhere ? QuarantineState::kConvicted
-                                                 : QuarantineState::kSuspect);
-  entry.account = suspect.account.substr(0, kMaxAccountBytes);
-  AddIfAbsent(node, &entry.crashed_at);
+  RequestState& request_state = FindOrAdd(now, suspect.fingerprint);
+  const bool elsewhere = std::any_of(
+      request_state.crashed_at.begin(), request_state.crashed_at.end(),
+      [&](const NodeId& it) { return it != node; });
+  request_state.quarantine_state =
+      std::max(request_state.quarantine_state, alone && elsewhere
+                                                   ? QuarantineState::kConvicted
+                                                   : QuarantineState::kSuspect);
+  request_state.account = suspect.account.substr(0, kMaxAccountBytes);
+  AddIfAbsent(node, &request_state.crashed_at);
 }
 
 void Quarantine::Clear(TimeUs now, std::uint64_t fingerprint) {
-  Entry& entry = FindOrAdd(now, fingerprint);
-  ++entry.epoch;
-  entry.quarantine_state = QuarantineState::kClear;
-  entry.crashed_at.clear();
+  RequestState& request_state = FindOrAdd(now, fingerprint);
+  ++request_state.epoch;
+  request_state.quarantine_state = QuarantineState::kClear;
+  request_state.crashed_at.clear();
 }
 
 void Quarantine::OnAnsweredAlone(TimeUs now, std::uint64_t fingerprint) {
@@ -155,9 +157,9 @@
     if (it.quarantine_state > QuarantineState::kConvicted) {
       continue;  // A state that this build does not know.
     }
-    const Entry theirs = {it.epoch, it.quarantine_state,
-                          now - std::max<DurationUs>(0, it.age), it.account,
-                          it.crashed_at};
+    const RequestState theirs = {it.epoch, it.quarantine_state,
+                                 now - std::max<DurationUs>(0, it.age),
+                                 it.account, it.crashed_at};
     if (it.fingerprint == 0 || IsExpired(now, theirs)) {
       continue;
     }
@@ -168,17 +170,18 @@
       changed = true;
       continue;
     }
-    Entry& entry = ours->second;
-    const auto rank = [](const Entry& e) {
+    RequestState& request_state = ours->second;
+    const auto rank = [](const RequestState& e) {
       return std::tuple(e.epoch, e.quarantine_state);
     };
-    if (rank(theirs) > rank(entry)) {
-      entry = theirs;
+    if (rank(theirs) > rank(request_state)) {
+      request_state = theirs;
       changed = true;
-    } else if (rank(theirs) == rank(entry)) {
-      entry.changed_at = std::max(entry.changed_at, theirs.changed_at);
+    } else if (rank(theirs) == rank(request_state)) {
+      request_state.changed_at =
+          std::max(request_state.changed_at, theirs.changed_at);
       for (const NodeId& node : it.crashed_at) {
-        AddIfAbsent(node, &entry.crashed_at);
+        AddIfAbsent(node, &request_state.crashed_at);
       }
     }
   }
@@ -189,8 +192,8 @@
   std::erase_if(records_,
                 [now](const auto& it) { return IsExpired(now, it.second); });
   std::vector<QuarantineRecord> all;
-  for (const auto& [fingerprint, entry] : records_) {
-    all.push_back(ToRecord(now, fingerprint, entry));
+  for (const auto& [fingerprint, request_state] : records_) {
+    all.push_back(ToRecord(now, fingerprint, request_state));
   }
   if (all.size() <= kMaxRecordsPerHeartbeat) {
     return all;
@@ -223,9 +226,9 @@
 
 std::vector<QuarantineRecord> Quarantine::All(TimeUs now) const {
   std::vector<QuarantineRecord> all;
-  for (const auto& [fingerprint, entry] : records_) {
+  for (const auto& [fingerprint, request_state] : records_) {
     if (Of(now, fingerprint) != QuarantineState::kClear) {
-      all.push_back(ToRecord(now, fingerprint, entry));
+      all.push_back(ToRecord(now, fingerprint, request_state));
     }
   }
   return all;
--- a/src/coordination/interface/quarantine.h
+++ b/src/coordination/interface/quarantine.h
@@ -93,18 +93,18 @@
   std::size_t size() const { return records_.size(); }
 
  private:
-  struct Entry {
+  struct RequestState {
     std::uint32_t epoch = 0;
     QuarantineState quarantine_state = QuarantineState::kClear;
     TimeUs changed_at = 0;
     std::string account;
     std::vector<NodeId> crashed_at;
   };
-  static bool IsExpired(TimeUs now, const Entry& entry);
+  static bool IsExpired(TimeUs now, const RequestState& request_state);
   static QuarantineRecord ToRecord(TimeUs now,
                                    std::uint64_t fingerprint,
-                                   const Entry& entry);
-  Entry& FindOrAdd(TimeUs now, std::uint64_t fingerprint);
+                                   const RequestState& request_state);
+  RequestState& FindOrAdd(TimeUs now, std::uint64_t fingerprint);
   void Clear(TimeUs now, std::uint64_t fingerprint);
   void AddCrash(TimeUs now,
                 const NodeId& node,
@@ -112,7 +112,7 @@
                 bool alone);
   void EvictIfFull(TimeUs now);
 
-  std::map<std::uint64_t, Entry> records_;
+  std::map<std::uint64_t, RequestState> records_;
   std::uint64_t last_rotated_ = 0;
 };
 
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -98,9 +98,9 @@
   std::vector<NodeId> Known(TimeUs now) const;
   // Must be called before each `TakeLost`, every 30 ms.
   //
-  // If this process was suspended, all other gateways seem to have been silent
-  // until their next heartbeats, and their work would be repeated. So the time
-  // for which this process did not run does not count as silence of the others.
+  // If this process was suspended, all other gateways seem to have sent no
+  // heartbeats meanwhile, and their work would be repeated. So the time for
+  // which this process did not run does not count as time without a heartbeat.
   void OnTick(TimeUs now);
   // Returns the gateways that stopped answering or restarted since the last
   // call: the work that they had in progress is lost.
--- a/src/coordination/membership/membership.cc
+++ b/src/coordination/membership/membership.cc
@@ -40,8 +40,9 @@
 
 void Membership::OnTick(TimeUs now) {
   // While this process was suspended, answers waited in its socket, and on
-  // resuming all sidecars seem to have been silent for as long. The silence is
-  // counted from now, so the answers are read before any sidecar is suspected.
+  // resuming all sidecars seem not to have answered for as long. The time
+  // without an answer is counted from now, so the answers are read before any
+  // sidecar is suspected.
   const bool was_suspended = suspension_detector_.CheckSuspension(now) > 0;
   for (auto& [sidecar, member] : members_) {
     if (was_suspended && member.unanswered_since >= 0) {
@@ -129,7 +130,7 @@
       output_->OnMemberLost(sidecar);
     }
     member.incarnation = incarnation;
-    member.first_heard_at = now;
+    member.first_message_at = now;
     member.listed_leaving = false;
   }
   if (answers_probe) {
@@ -199,8 +200,8 @@
     Member& member = it->second;
     // The list may still describe the process that this one replaced.
     const bool about_current_process =
-        member.first_heard_at >= 0 &&
-        now - member.first_heard_at >= kMaxHostListLag;
+        member.first_message_at >= 0 &&
+        now - member.first_message_at >= kMaxHostListLag;
     member.listed_leaving = host.leaving && about_current_process;
     if (member.state != NodeState::kReady &&
         member.state != NodeState::kLeaving) {
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -10,10 +10,10 @@
 // probe was sent. A probe without an answer is repeated quickly, so lost
 // datagrams are distinguished from a dead host by number and not by waiting. A
 // sidecar that does not answer becomes suspected: it gets no new work over that
-// path, and two other entries are asked whether they reach it. Only if none
-// does is it dead, and its attempts are abandoned. A host list that is up to 30
-// s late adds the hint that a host leaves; it neither revives a sidecar nor
-// marks one as dead.
+// path, and two other entries are asked whether they reach it. It is dead only
+// if none of them does, and its attempts are then abandoned. A host list that
+// is up to 30 s late adds the hint that a host leaves; it neither revives a
+// sidecar nor marks one as dead.
 //
 // Bounds, with `period` as the current period (at most `kMaxProbePeriod`): a
 // dead or unreachable sidecar gets no new work after period + `kSuspectTimeout`
@@ -115,7 +115,7 @@
     // As reported by the sidecar.
     NodeState reported_state = NodeState::kStarting;
     NodeState state = NodeState::kStarting;
-    TimeUs first_heard_at = kNoTime;  // First message of this incarnation.
+    TimeUs first_message_at = kNoTime;  // First message of this incarnation.
     // Last contact, directly or through another entry.
     TimeUs last_contact_at = kNoTime;
     TimeUs unanswered_since = kNoTime;  // First probe without an answer.
--- a/src/coordination/membership/suspension_detector.h
+++ b/src/coordination/membership/suspension_detector.h
@@ -1,6 +1,7 @@
 // Detects that this process was suspended.
 //
-// After a suspension, all other processes seem to have been silent for as long.
+// After a suspension, all other processes seem not to have answered for as
+// long.
 #ifndef ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_SUSPENSION_DETECTOR_H_
 #define ACACIACHUTE_SRC_COORDINATION_MEMBERSHIP_SUSPENSION_DETECTOR_H_
 
--- a/src/coordination/settings/settings_sync.cc
+++ b/src/coordination/settings/settings_sync.cc
@@ -200,7 +200,7 @@
     std::swap(candidates[random_->Below(candidates.size())], candidates.back());
     const std::uint64_t sequence = next_sequence_++;
     gossip_requests_[sequence] = {candidates.back(), now};
-    output_->Ask(candidates.back(), sequence);
+    output_->SendGossipRequest(candidates.back(), sequence);
     candidates.pop_back();
   }
 }
@@ -230,18 +230,18 @@
     ChooseWitnesses();
   }
   Peer& peer = peers_[from];
-  peer.hash = heartbeat.settings.hash;
-  peer.sum = heartbeat.settings.sum;
+  peer.tree_hash = heartbeat.settings.hash;
+  peer.version_sum = heartbeat.settings.sum;
   const auto it = gossip_requests_.find(heartbeat.reply_to);
   if (it != gossip_requests_.end() && it->second.peer == from) {
     const TimeUs requested_at = it->second.sent_at;
     gossip_requests_.erase(it);
-    if (peer.hash == tree_hash_) {
+    if (peer.tree_hash == tree_hash_) {
       MergeProofs(from, requested_at, heartbeat.settings);
     }
   }
   // The node with the smaller version sum pulls; with equal sums both do.
-  if (peer.hash != tree_hash_ && peer.sum >= version_sum_) {
+  if (peer.tree_hash != tree_hash_ && peer.version_sum >= version_sum_) {
     Pull(now, from);
   }
 }
@@ -382,7 +382,8 @@
 std::size_t SettingsSync::Holders() const {
   std::size_t holders = witnesses_.contains(HashOf(node_, 0)) ? 1 : 0;
   for (const auto& [name, peer] : peers_) {
-    const bool holds = peer.hash == tree_hash_ || peer.sum > version_sum_;
+    const bool holds =
+        peer.tree_hash == tree_hash_ || peer.version_sum > version_sum_;
     holders += holds && witnesses_.contains(HashOf(name, 0)) ? 1 : 0;
   }
   return holders;
--- a/src/coordination/settings/settings_sync.h
+++ b/src/coordination/settings/settings_sync.h
@@ -53,7 +53,8 @@
   virtual ~SettingsSyncOutput() = default;
   // Sends a gossip request: a heartbeat with this sequence number and the
   // current digest.
-  virtual void Ask(const NodeId& peer, std::uint64_t sequence) = 0;
+  virtual void SendGossipRequest(const NodeId& peer,
+                                 std::uint64_t sequence) = 0;
   virtual void SendSettings(const NodeId& peer, const Message& message) = 0;
   virtual void ReadTable(StoreTicket ticket, std::vector<StoreOp> ops) = 0;
   // Reports a branch that cannot be parsed. It is skipped, and its version
@@ -124,8 +125,8 @@
   static constexpr TimeUs kNoTime = -1;
 
   struct Peer {
-    std::uint64_t hash = 0;
-    std::uint64_t sum = 0;
+    std::uint64_t tree_hash = 0;
+    std::uint64_t version_sum = 0;
   };
   // A gossip request or pull in progress. An answer to an expired one is
   // ignored.
--- a/src/coordination/stages/local_piece_dispatcher.cc
+++ b/src/coordination/stages/local_piece_dispatcher.cc
@@ -44,13 +44,14 @@
   }
 }
 
-void LocalPieceDispatcher::Drop(const std::string& request) {
+void LocalPieceDispatcher::CancelRequest(const std::string& request) {
   for (auto& [name, batcher] : batchers_) {
-    batcher->Drop(request);
+    batcher->CancelRequest(request);
   }
 }
 
-void LocalPieceDispatcher::Free(const std::vector<std::string>& handles) {
+void LocalPieceDispatcher::ReleaseResults(
+    const std::vector<std::string>& handles) {
   for (const auto& handle : handles) {
     const ReplicaEntry* producer = directory_->ProducerOf(handle);
     if (producer != nullptr) {
@@ -63,7 +64,7 @@
     const std::string& service,
     const std::vector<std::string>& handles) {
   if (const auto it = batchers_.find(service); it != batchers_.end()) {
-    it->second->Free(handles);
+    it->second->ReleaseResults(handles);
   }
 }
 
@@ -93,10 +94,10 @@
   }
 }
 
-void LocalPieceDispatcher::OnReplicaGone(TimeUs now,
-                                         const ReplicaEntry& replica) {
+void LocalPieceDispatcher::OnReplicaRemoved(TimeUs now,
+                                            const ReplicaEntry& replica) {
   if (const auto it = batchers_.find(replica.service); it != batchers_.end()) {
-    it->second->OnReplicaGone(now, replica.id);
+    it->second->OnReplicaRemoved(now, replica.id);
   }
 }
 
--- a/src/coordination/stages/local_piece_dispatcher.h
+++ b/src/coordination/stages/local_piece_dispatcher.h
@@ -25,8 +25,8 @@
   void SetServices(const ServingConfig& config);
 
   void Submit(TimeUs now, std::vector<PieceTask> tasks) override;
-  void Drop(const std::string& request) override;
-  void Free(const std::vector<std::string>& handles) override;
+  void CancelRequest(const std::string& request) override;
+  void ReleaseResults(const std::vector<std::string>& handles) override;
   void FreeForService(const std::string& service,
                       const std::vector<std::string>& handles);
   QueueWait ExpectedWait(TimeUs now, const std::string& service) const override;
@@ -37,7 +37,7 @@
                  const std::string& service,
                  BatchId id,
                  const PieceCallEnd& end);
-  void OnReplicaGone(TimeUs now, const ReplicaEntry& replica);
+  void OnReplicaRemoved(TimeUs now, const ReplicaEntry& replica);
   void OnReplicaRestarted(TimeUs now, const ReplicaEntry& replica);
   void OnTick(TimeUs now);
   const std::map<std::string, std::unique_ptr<PieceBatcher>>& batchers() const {
--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -90,7 +90,7 @@
       kLateMemoryShare * static_cast<double>(limits_.result_memory_bytes));
 }
 
-void PieceBatcher::Drop(const std::string& request) {
+void PieceBatcher::CancelRequest(const std::string& request) {
   auto it = pieces_.lower_bound(PieceKey{request, 0, 0});
   while (it != pieces_.end() && it->first.request == request) {
     if (it->second.queued) {
@@ -284,7 +284,7 @@
   return view;
 }
 
-void PieceBatcher::Free(const std::vector<std::string>& handles) {
+void PieceBatcher::ReleaseResults(const std::vector<std::string>& handles) {
   for (const auto& handle : handles) {
     const auto producer =
         ParseAddress(std::string_view(handle).substr(0, handle.find('/')));
@@ -302,7 +302,7 @@
 void PieceBatcher::SendReleases() {
   for (const auto& [address, handles] : std::exchange(pending_releases_, {})) {
     if (!replicas_.InEvacuatedDomain(handles.front())) {
-      output_->FreeAt(address, handles);
+      output_->ReleaseAt(address, handles);
     }
   }
 }
@@ -385,16 +385,17 @@
   const auto piece = pieces_.find(result.key);
   if (piece == pieces_.end()) {
     // Another call returned the piece first, or its request has ended.
-    Free({result.handle});
+    ReleaseResults({result.handle});
     return;
   }
   --piece->second.calls;
-  if (result.outcome == PieceOutcome::kInputGone && piece->second.calls > 0) {
+  if (result.outcome == PieceOutcome::kInputMissing &&
+      piece->second.calls > 0) {
     // The first call has read the inputs and may still complete the piece.
     return;
   }
   const bool final = result.outcome == PieceOutcome::kMade ||
-                     result.outcome == PieceOutcome::kInputGone ||
+                     result.outcome == PieceOutcome::kInputMissing ||
                      result.outcome == PieceOutcome::kLate;
   if (answered && final) {
     Finish(piece, result);
@@ -437,7 +438,7 @@
   }
   const PieceKey key = piece->task.key;
   if (InputsReleased(*piece)) {
-    Finish(pieces_.find(key), {key, PieceOutcome::kInputGone, ""});
+    Finish(pieces_.find(key), {key, PieceOutcome::kInputMissing, ""});
     return;
   }
   if (piece->inputs_read) {
@@ -453,7 +454,7 @@
   Finish(pieces_.find(key), {key, outcome, ""});
 }
 
-void PieceBatcher::OnReplicaGone(TimeUs now, const ReplicaId& replica) {
+void PieceBatcher::OnReplicaRemoved(TimeUs now, const ReplicaId& replica) {
   replicas_.OnReplicaRemoved(replica);
   Dispatch(now);
 }
@@ -461,7 +462,7 @@
 void PieceBatcher::OnReplicaRestarted(TimeUs now, const ReplicaId& replica) {
   EndCallsWhere(now, {PieceCallEnd::Kind::kBroken, "the replica restarted", {}},
                 [&](const Call& call) { return call.call.replica == replica; });
-  OnReplicaGone(now, replica);
+  OnReplicaRemoved(now, replica);
 }
 
 void PieceBatcher::ExpireWaiting(TimeUs now) {
@@ -482,7 +483,7 @@
     Enqueue(now, &piece);
   }
   for (const auto& key : expired) {
-    // The handler of the previous result may have dropped this piece.
+    // The handler of the previous result may have cancelled this piece.
     if (const auto it = pieces_.find(key); it != pieces_.end()) {
       Finish(it, {key, PieceOutcome::kLate, ""});
     }
--- a/src/coordination/stages/piece_batcher.h
+++ b/src/coordination/stages/piece_batcher.h
@@ -80,8 +80,8 @@
   virtual void StartCall(const PieceCall& call) = 0;
   virtual void OnPiece(const PieceResult& result) = 0;
   // Sends `replica` a request to release these results.
-  virtual void FreeAt(const Address& replica,
-                      const std::vector<std::string>& handles) = 0;
+  virtual void ReleaseAt(const Address& replica,
+                         const std::vector<std::string>& handles) = 0;
   // All pieces that need these results are running and have read them.
   virtual void OnInputsRead(const std::vector<std::string>& handles) = 0;
   // Whether the replicas that hold these results are short of memory for
@@ -143,12 +143,12 @@
   // added.
   void Dispatch(TimeUs now);
   // Cancels the request's pieces.
-  void Drop(const std::string& request);
+  void CancelRequest(const std::string& request);
   // Releases results that no request needs any longer. The replicas are
   // notified at the next tick, each with one message.
-  void Free(const std::vector<std::string>& handles);
+  void ReleaseResults(const std::vector<std::string>& handles);
   void OnCallEnd(TimeUs now, BatchId id, const PieceCallEnd& end);
-  void OnReplicaGone(TimeUs now, const ReplicaId& replica);
+  void OnReplicaRemoved(TimeUs now, const ReplicaId& replica);
   // The replica's previous incarnation has ended: its pieces are queued again
   // at once, instead of when their calls become overdue.
   void OnReplicaRestarted(TimeUs now, const ReplicaId& replica);
--- a/src/coordination/stages/piece_dispatcher.h
+++ b/src/coordination/stages/piece_dispatcher.h
@@ -14,14 +14,14 @@
 class PieceDispatcher {
  public:
   virtual ~PieceDispatcher() = default;
-  // Submits pieces. Exactly one result is delivered per piece, unless `Drop`
-  // cancels its request first.
+  // Submits pieces. Exactly one result is delivered per piece, unless
+  // `CancelRequest` cancels its request first.
   virtual void Submit(TimeUs now, std::vector<PieceTask> tasks) = 0;
   // Cancels the request's pieces. Must be called when a request that submitted
   // pieces ends.
-  virtual void Drop(const std::string& request) = 0;
+  virtual void CancelRequest(const std::string& request) = 0;
   // Releases results that no request needs any longer.
-  virtual void Free(const std::vector<std::string>& handles) = 0;
+  virtual void ReleaseResults(const std::vector<std::string>& handles) = 0;
   virtual QueueWait ExpectedWait(TimeUs now,
                                  const std::string& service) const = 0;
 };
--- a/src/coordination/stages/shared_piece_dispatcher.cc
+++ b/src/coordination/stages/shared_piece_dispatcher.cc
@@ -69,12 +69,12 @@
   }
 }
 
-void SharedPieceDispatcher::Drop(const std::string& request) {
+void SharedPieceDispatcher::CancelRequest(const std::string& request) {
   auto it = pending_.lower_bound(PieceKey{request, 0, 0});
   while (it != pending_.end() && it->first.request == request) {
     it = pending_.erase(it);
   }
-  local_->Drop(request);
+  local_->CancelRequest(request);
   const auto owners = owners_.extract(request);
   if (owners.empty()) {
     return;
@@ -86,7 +86,8 @@
 
 // The gateway that batches the service of the producing replica keeps the
 // account of that replica's memory, so the release goes there.
-void SharedPieceDispatcher::Free(const std::vector<std::string>& handles) {
+void SharedPieceDispatcher::ReleaseResults(
+    const std::vector<std::string>& handles) {
   std::map<std::string, std::vector<std::string>> by_service;
   for (const auto& handle : handles) {
     const ReplicaEntry* producer = directory_->ProducerOf(handle);
@@ -175,7 +176,7 @@
     output_->OnOwnPiece(result);
   } else if (!result.handle.empty()) {
     // Second result of the piece, or its request has ended.
-    Free({result.handle});
+    ReleaseResults({result.handle});
   }
 }
 
@@ -190,11 +191,11 @@
 
 void SharedPieceDispatcher::OnPeerCancel(const PieceCancel& cancel) {
   requesters_.erase(cancel.request);
-  local_->Drop(cancel.request);
+  local_->CancelRequest(cancel.request);
 }
 
 void SharedPieceDispatcher::OnPeerRelease(const PieceRelease& release) {
-  local_->Free(release.handles);
+  local_->ReleaseResults(release.handles);
 }
 
 void SharedPieceDispatcher::OnPeerResults(const PieceResults& results) {
--- a/src/coordination/stages/shared_piece_dispatcher.h
+++ b/src/coordination/stages/shared_piece_dispatcher.h
@@ -45,8 +45,8 @@
                         EventLog* log);
 
   void Submit(TimeUs now, std::vector<PieceTask> tasks) override;
-  void Drop(const std::string& request) override;
-  void Free(const std::vector<std::string>& handles) override;
+  void CancelRequest(const std::string& request) override;
+  void ReleaseResults(const std::vector<std::string>& handles) override;
   QueueWait ExpectedWait(TimeUs now, const std::string& service) const override;
 
   // Whether one of the services that produced these results uses more than
--- a/src/coordination/tables/store_requests.cc
+++ b/src/coordination/tables/store_requests.cc
@@ -8,17 +8,18 @@
 StoreRequests::StoreRequests(std::string table, StoreReader* store)
     : table_(std::move(table)), store_(store) {}
 
-void StoreRequests::Ask(TimeUs now, TableQuery query) {
+void StoreRequests::SendRequest(TimeUs now, TableQuery query) {
   if (!requests_.empty()) {
     requests_.back().awaited = false;
   }
   if (requests_.size() == kMaxInFlight) {
-    store_->Forget(table_, requests_[1].id);
+    store_->CancelRequest(table_, requests_[1].id);
     requests_.erase(requests_.begin() + 1);
   }
   const DurationUs answer_timeout = query.wait + kAnswerAcceptTimeout;
   requests_.push_back({next_id_++, query, now, true});
-  store_->Ask({table_, requests_.back().id, std::move(query), answer_timeout});
+  store_->SendRequest(
+      {table_, requests_.back().id, std::move(query), answer_timeout});
 }
 
 std::optional<StoreRequests::Sent> StoreRequests::Take(std::uint64_t id) {
--- a/src/coordination/tables/store_requests.h
+++ b/src/coordination/tables/store_requests.h
@@ -41,9 +41,9 @@
   virtual ~StoreReader() = default;
   // Sends the request. Exactly one answer follows, with the same table and id,
   // also after a time-out.
-  virtual void Ask(const StoreRequest& request) = 0;
+  virtual void SendRequest(const StoreRequest& request) = 0;
   // Cancels the request: no answer follows.
-  virtual void Forget(const std::string& table, std::uint64_t id) = 0;
+  virtual void CancelRequest(const std::string& table, std::uint64_t id) = 0;
 };
 
 class StoreRequests {
@@ -65,7 +65,7 @@
   StoreRequests(std::string table, StoreReader* store);
 
   // Sends a request, which replaces the awaited one if there is one.
-  void Ask(TimeUs now, TableQuery query);
+  void SendRequest(TimeUs now, TableQuery query);
   // Removes and returns the request with this id; empty if it was cancelled.
   std::optional<Sent> Take(std::uint64_t id);
   // The awaited request; null if there is none.
--- a/src/coordination/tables/table_relay.cc
+++ b/src/coordination/tables/table_relay.cc
@@ -39,7 +39,7 @@
 
 void TableRelay::OnRow(const TableRow& row) {
   if (const auto it = rows_.find(row.key); it != rows_.end()) {
-    bytes_ -= it->second.value.size();
+    table_bytes_ -= it->second.value.size();
     rows_by_version_.erase({it->second.version, row.key});
     rows_.erase(it);
   }
@@ -48,7 +48,7 @@
     removed_.erase(it);
   }
   if (!row.removed) {
-    bytes_ += row.value.size();
+    table_bytes_ += row.value.size();
     rows_by_version_.emplace(row.version, row.key);
     rows_[row.key] = row;
     return;
@@ -117,7 +117,7 @@
 TableAnswer TableRelay::ChangesSince(const HeldRequest& held) const {
   const TableRequest& request = held.request;
   TableAnswer answer;
-  if (!known_ || (request.whole && bytes_ > kMaxTableBytes)) {
+  if (!known_ || (request.whole && table_bytes_ > kMaxTableBytes)) {
     answer.why = "the table is not held here";
     return answer;
   }
@@ -126,7 +126,7 @@
     return answer;
   }
   if (!request.whole && request.after < history_from_) {
-    answer.kind = TableAnswer::Kind::kHistoryGone;
+    answer.kind = TableAnswer::Kind::kHistoryTruncated;
     return answer;
   }
   answer.kind = TableAnswer::Kind::kRows;
--- a/src/coordination/tables/table_relay.h
+++ b/src/coordination/tables/table_relay.h
@@ -102,7 +102,7 @@
   using VersionIndex = std::set<std::pair<std::uint64_t, std::string>>;
   VersionIndex rows_by_version_;
   VersionIndex removals_by_version_;
-  std::size_t bytes_ = 0;
+  std::size_t table_bytes_ = 0;
   std::vector<HeldRequest> held_requests_;
 };
 
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -120,7 +120,7 @@
   if (relay_request_.peer.empty()) {
     LogSource(now, std::string(kStoreSource), last_failure_);
   }
-  store_requests_.Ask(now, std::move(query));
+  store_requests_.SendRequest(now, std::move(query));
 }
 
 // The store may be reachable only for gateways that are not relays. So a relay
@@ -186,7 +186,7 @@
         store_clock_.LocalTimeOf(*answer.store_time, sent->sent_at, now) -
         sent->sent_at;
   }
-  if (answer.kind == TableAnswer::Kind::kHistoryGone) {
+  if (answer.kind == TableAnswer::Kind::kHistoryTruncated) {
     answer.known_after.reset();
     answer.version = sent->query.after;
   }
@@ -255,8 +255,8 @@
     case TableAnswer::Kind::kStoreLost:
       OnStoreLostAtPeer(now, reply.answer);
       return;
-    case TableAnswer::Kind::kHistoryGone:
-      OnHistoryGoneAtPeer(now, reply.answer);
+    case TableAnswer::Kind::kHistoryTruncated:
+      OnHistoryTruncatedAtPeer(now, reply.answer);
       return;
     case TableAnswer::Kind::kRows:
       OnPeerAnswer(now, reply.answer);
@@ -290,7 +290,8 @@
 // A relay that started later than this gateway does not have the changes from
 // before its start. The store keeps them, so this gateway reads a few rows from
 // it instead of the complete table.
-void TableSource::OnHistoryGoneAtPeer(TimeUs now, const TableAnswer& answer) {
+void TableSource::OnHistoryTruncatedAtPeer(TimeUs now,
+                                           const TableAnswer& answer) {
   if (store_failed_ || read_.query.whole) {
     OnPeerAnswer(now, answer);
     return;
--- a/src/coordination/tables/table_source.h
+++ b/src/coordination/tables/table_source.h
@@ -134,7 +134,7 @@
   void OnStoreFailed(TimeUs now, TimeUs sent_at, const TableAnswer& answer);
   bool IsOpen() const { return read_.state == State::kOpen; }
   void OnStoreLostAtPeer(TimeUs now, const TableAnswer& answer);
-  void OnHistoryGoneAtPeer(TimeUs now, const TableAnswer& answer);
+  void OnHistoryTruncatedAtPeer(TimeUs now, const TableAnswer& answer);
   void OnPeerAnswer(TimeUs now, TableAnswer answer);
   void OnPeerFailed(TimeUs now, std::string_view reason);
   void Finish(TimeUs now, TimeUs sent_at, TableAnswer answer);
--- a/src/coordination/tables/table_watch.cc
+++ b/src/coordination/tables/table_watch.cc
@@ -55,7 +55,7 @@
     case TableAnswer::Kind::kStoreLost:
       OnFailure(now, answer);
       return;
-    case TableAnswer::Kind::kHistoryGone:
+    case TableAnswer::Kind::kHistoryTruncated:
       log_->Write("table_history_gone",
                   {{"table", table_}, {"version", version_}});
       reading_complete_table_ = true;
--- a/src/daemon/entry_node.cc
+++ b/src/daemon/entry_node.cc
@@ -117,7 +117,7 @@
   void Export(const Span& span) override { traces.Add(span); }
 
   // SettingsSyncOutput:
-  void Ask(const NodeId& peer, std::uint64_t sequence) override {
+  void SendGossipRequest(const NodeId& peer, std::uint64_t sequence) override {
     SendEntryHeartbeat(peer, sequence, 0);
   }
   void SendSettings(const NodeId& peer, const Message& message) override {
@@ -213,7 +213,7 @@
                      std::string_view body) override;
   void OnHttpGone(std::uint64_t handle) override {
     streams.erase(handle);
-    entry.OnCallerGone(Loop::Now(), handle);
+    entry.OnCallerDisconnected(Loop::Now(), handle);
     Rearm();
   }
 
@@ -529,7 +529,7 @@
 void EntryNode::Impl::QuitWhenDone() {
   const bool settled =
       entry.UnsettledOutcomes() == 0 || Loop::Now() >= claim_outcome_deadline;
-  if (entry.InProgress() == 0 && server.Open() == 0 && settled) {
+  if (entry.InProgress() == 0 && server.UnfinishedRequests() == 0 && settled) {
     LOG(INFO) << "event=stopped node=" << settings.node;
     loop->Quit();
     return;
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -243,7 +243,7 @@
   log.Write("settings", {{"key_age_ms", after.key_age / kMillisecond},
                          {"retry_ratio", after.budget.ratio},
                          {"retry_slack", after.budget.slack},
-                         {"cold_over", after.cold.over},
+                         {"cold_over", after.cold.factor},
                          {"cold_slack", after.cold.slack},
                          {"drain_ms", reloaded->freshness.drain / kMillisecond},
                          {"config_apply_ms",
@@ -283,7 +283,7 @@
   ListenerLimits out;
   out.read.head_bytes = limits.head_bytes;
   out.read.body_bytes = limits.body_bytes;
-  out.head = limits.head_time;
+  out.request_time = limits.request_time;
   out.idle = limits.idle_time;
   out.buffered_bytes = settings.memory_bytes / kBodyMemoryDivisor;
   out.connections = static_cast<std::size_t>(
@@ -356,7 +356,7 @@
                {"call", id},
                {"made", made},
                {"late", of(PieceOutcome::kLate)},
-               {"input_gone", of(PieceOutcome::kInputGone)},
+               {"input_gone", of(PieceOutcome::kInputMissing)},
                {"no_room", of(PieceOutcome::kOutOfMemory)},
                {"failed", of(PieceOutcome::kFailed)}});
   }
--- a/src/daemon/gateway_node_impl.h
+++ b/src/daemon/gateway_node_impl.h
@@ -96,7 +96,7 @@
   void OnRequest(ExchangeId id,
                  HttpRequestHead head,
                  std::string body) override;
-  void OnGone(ExchangeId id) override { gateway->OnGone(id); }
+  void OnGone(ExchangeId id) override { gateway->OnClientDisconnected(id); }
   void OnWritten(ExchangeId id) override { gateway->OnWritten(id); }
   void OnListenerEvent(const ListenerEvent& event) override;
 
@@ -175,12 +175,12 @@
   void OnPiece(const PieceResult& result) override {
     dispatcher.OnLocalPiece(result);
   }
-  void FreeAt(const Address& replica,
-              const std::vector<std::string>& handles) override {
-    pieces.Free(replica, handles);
+  void ReleaseAt(const Address& replica,
+                 const std::vector<std::string>& handles) override {
+    pieces.ReleaseResults(replica, handles);
   }
   void OnInputsRead(const std::vector<std::string>& handles) override {
-    dispatcher.Free(handles);
+    dispatcher.ReleaseResults(handles);
   }
   bool ShortOfMemory(const std::vector<std::string>& handles) override {
     return dispatcher.ShortOfMemory(handles);
@@ -207,7 +207,8 @@
 
   // GatewayJoinOutput
   void ReadGateways() override {
-    store.Ask({kGatewayTable, 0, {true, "", 0, 0}, GatewayJoin::kReadTimeout});
+    store.SendRequest(
+        {kGatewayTable, 0, {true, "", 0, 0}, GatewayJoin::kReadTimeout});
   }
   void WriteGateway(const std::string& key,
                     const std::string& value,
--- a/src/daemon/gateway_node_peers.cc
+++ b/src/daemon/gateway_node_peers.cc
@@ -80,7 +80,7 @@
   heartbeat.cores = settings.cores;
   heartbeat.domain = settings.domain;
   heartbeat.waits = dispatcher.OwnQueueWaits(now);
-  for (const auto& [replica, load] : gateway->engines()->own()) {
+  for (const auto& [replica, load] : gateway->engines()->own_loads()) {
     heartbeat.work.push_back(
         {replica.name, replica.incarnation, load.running, load.unread_tokens});
   }
--- a/src/daemon/gateway_node_store.cc
+++ b/src/daemon/gateway_node_store.cc
@@ -183,7 +183,7 @@
   if (table == platform::kOperatorTable) {
     gateway->OnConfirmed(known_at);
   } else {
-    directory.OnStoreBack(Now());
+    directory.OnStoreRecovered(Now());
     directory.OnCurrent(known_at);
   }
   FollowedTable* followed = FindFollowedTable(table);
@@ -208,11 +208,11 @@
                         {"address", AddressText(replica.address)}});
   gateway->OnReplica(replica, change);
   const bool restarted = change == DirectoryChange::kRestarted;
-  if (restarted || change == DirectoryChange::kGone) {
+  if (restarted || change == DirectoryChange::kRemoved) {
     channels.DropIdle(replica.address);
   }
-  if (change == DirectoryChange::kGone) {
-    batchers.OnReplicaGone(Now(), replica);
+  if (change == DirectoryChange::kRemoved) {
+    batchers.OnReplicaRemoved(Now(), replica);
   } else if (restarted) {
     batchers.OnReplicaRestarted(Now(), replica);
     dispatcher.SendResults();
--- a/src/protocol/replay_guard.h
+++ b/src/protocol/replay_guard.h
@@ -19,7 +19,7 @@
 class ReplayGuard {
  public:
   // Number of earlier incarnations remembered per node. A node restarts a few
-  // times a day at most, and a datagram lives for seconds.
+  // times a day at most, and a datagram is in the network for seconds at most.
   static constexpr std::size_t kMaxRetiredIncarnations = 8;
 
   bool Accept(const Envelope& envelope);
--- a/src/state/claim.h
+++ b/src/state/claim.h
@@ -3,8 +3,8 @@
 // An entry inserts the claim conditionally before any stage may run. No other
 // entry takes over a claim whose request may still run, so an entry that
 // resumes after a suspension still holds its claim and no other entry has run
-// the request. The cost: if the holder dies, copies of the request are answered
-// with "may have run" forever.
+// the request. The cost: if the holder crashes, copies of the request are
+// answered with "may have run" forever.
 #ifndef ACACIACHUTE_SRC_STATE_CLAIM_H_
 #define ACACIACHUTE_SRC_STATE_CLAIM_H_
 
--- a/src/state/host_settings.h
+++ b/src/state/host_settings.h
@@ -20,8 +20,8 @@
 
 // Limits the requests per second to one cold replica, summed over all gateways.
 struct ColdRateBound {
-  double over = 1.5;  // Factor on the rate that a cold replica can handle.
-  double slack = 5;   // Requests per second allowed in addition.
+  double factor = 1.5;  // Factor on the rate that a cold replica can handle.
+  double slack = 5;     // Requests per second allowed in addition.
   bool operator==(const ColdRateBound&) const = default;
 };
 
--- a/src/state/piece.h
+++ b/src/state/piece.h
@@ -48,9 +48,9 @@
 
 enum class PieceOutcome {
   kMade,
-  kLate,         // The time left ran out before the piece was started.
-  kInputGone,    // A result that the piece needs no longer exists.
-  kOutOfMemory,  // The replica has no free memory for the result.
+  kLate,          // The time left ran out before the piece was started.
+  kInputMissing,  // A result that the piece needs no longer exists.
+  kOutOfMemory,   // The replica has no free memory for the result.
   kFailed,
   kNotMade,  // No replica was available.
 };
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -102,8 +102,8 @@
   const ReplicaEntry before = known;  // A copy: `Insert` overwrites `known`.
   const bool has_start = before.id.incarnation != 0;
   Insert(entry);
-  watcher_->OnReplica(
-      before, has_start ? DirectoryChange::kRestarted : DirectoryChange::kGone);
+  watcher_->OnReplica(before, has_start ? DirectoryChange::kRestarted
+                                        : DirectoryChange::kRemoved);
   NotifyAdded(entry);
 }
 
@@ -142,14 +142,14 @@
   for (const auto& it : unreadable) {
     PutUnreadable(it);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   for (const auto& [name, row] : entries_) {
     if (!listed.contains(name)) {
-      gone.push_back(name);
+      removed.push_back(name);
     }
   }
-  std::sort(gone.begin(), gone.end());  // Makes the order deterministic.
-  for (const auto& it : gone) {
+  std::sort(removed.begin(), removed.end());  // Makes the order deterministic.
+  for (const auto& it : removed) {
     Remove(now, it);
   }
 }
@@ -162,7 +162,7 @@
 // A host cannot distinguish an outage of the store from being cut off itself.
 // In the second case it must drop replicas that left before it counts as a host
 // that reaches the store, hence the limit `max_retention_`.
-void ReplicaDirectory::OnStoreBack(TimeUs now) {
+void ReplicaDirectory::OnStoreRecovered(TimeUs now) {
   if (store_lost_) {
     store_lost_ = false;
     retain_until_ =
@@ -184,9 +184,9 @@
   if (retained_.empty() || store_lost_ || now < retain_until_) {
     return;
   }
-  std::vector<std::string> gone(retained_.begin(), retained_.end());
-  std::sort(gone.begin(), gone.end());
-  for (const auto& name : gone) {
+  std::vector<std::string> removed(retained_.begin(), retained_.end());
+  std::sort(removed.begin(), removed.end());
+  for (const auto& name : removed) {
     // The watcher may have inserted this entry again during a previous `Erase`.
     if (retained_.contains(name)) {
       Erase(now, entries_.find(name));
@@ -264,7 +264,7 @@
   return !row.entry.leaving && !row.unreadable &&
          !evacuated_.contains(row.entry.domain) &&
          (row.entry.id.incarnation != 0 ||
-          services_.at(row.entry.service).incarnations_told == 0);
+          services_.at(row.entry.service).rows_with_incarnation == 0);
 }
 
 void ReplicaDirectory::Erase(TimeUs now, Rows::iterator it) {
@@ -276,7 +276,7 @@
   if (entry.id.incarnation != 0) {
     ended_[entry.id.name] = {entry.id.incarnation, entry.leaving, now};
   }
-  watcher_->OnReplica(entry, DirectoryChange::kGone);
+  watcher_->OnReplica(entry, DirectoryChange::kRemoved);
 }
 
 void ReplicaDirectory::AddToIndexes(Row* row) {
@@ -285,7 +285,7 @@
   ServiceRows& service = services_[row->entry.service];
   if (row->entry.id.incarnation == 0) {
     service.without_incarnation.insert(row);
-  } else if (service.incarnations_told++ == 0) {
+  } else if (service.rows_with_incarnation++ == 0) {
     for (Row* it : service.without_incarnation) {
       UpdateEligible(it);
     }
@@ -304,12 +304,12 @@
   ServiceRows& rows = service->second;
   if (row->entry.id.incarnation == 0) {
     rows.without_incarnation.erase(row);
-  } else if (--rows.incarnations_told == 0) {
+  } else if (--rows.rows_with_incarnation == 0) {
     for (Row* it : rows.without_incarnation) {
       UpdateEligible(it);
     }
   }
-  if (rows.incarnations_told == 0 && rows.without_incarnation.empty()) {
+  if (rows.rows_with_incarnation == 0 && rows.without_incarnation.empty()) {
     services_.erase(service);
   }
 }
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -80,7 +80,7 @@
 enum class DirectoryChange {
   kAdded,
   kLeaving,
-  kGone,          // Its entry was removed.
+  kRemoved,       // Its entry was removed.
   kRestarted,     // A later incarnation replaced this one.
   kKeptInOutage,  // Its row was removed, but the replica may still run.
   kUnreadable,    // Its row cannot be parsed; no new work until it can.
@@ -131,7 +131,7 @@
   // The store did not answer a request that was sent at `asked_at`.
   void OnStoreLost(TimeUs asked_at);
   // The store answers again after an outage.
-  void OnStoreBack(TimeUs now);
+  void OnStoreRecovered(TimeUs now);
   // Limits how long entries are kept after their rows were removed, counted
   // from the last request that the store did not answer.
   void SetMaxRetention(DurationUs max_retention) {
@@ -182,7 +182,7 @@
     std::vector<Row*> rows;
     // Number of the service's rows that state their incarnation, and the rows
     // that do not.
-    std::size_t incarnations_told = 0;
+    std::size_t rows_with_incarnation = 0;
     absl::flat_hash_set<Row*> without_incarnation;
   };
   struct EndedIncarnation {
--- a/src/state/replica_health.h
+++ b/src/state/replica_health.h
@@ -36,11 +36,13 @@
     next_probe_ = now + kProbeEvery;
   }
   // The connection to the replica broke, or a message to it could not be sent.
-  // The replica gets no calls until its next report (`OnHeard`).
+  // The replica gets no calls until its next report (`OnReport`).
   void OnUnreachable() { unreachable_ = true; }
-  void OnHeard() { unreachable_ = false; }
+  void OnReport() { unreachable_ = false; }
 
-  bool Takes(TimeUs now, bool may_probe) const {
+  // Whether the replica may get a call. `may_probe`: the call may be repeated,
+  // so an excluded replica may get it as a probe.
+  bool AcceptsCall(TimeUs now, bool may_probe) const {
     if (unreachable_) {
       return false;
     }
@@ -49,7 +51,8 @@
     return failure_rate_ < kExclusionThreshold || now >= retry_at;
   }
   bool reachable() const { return !unreachable_; }
-  bool shunned() const {
+  // Excluded or unreachable.
+  bool avoided() const {
     return unreachable_ || failure_rate_ >= kExclusionThreshold;
   }
   bool probing(TimeUs now) const {
--- a/src/state/replica_table.h
+++ b/src/state/replica_table.h
@@ -33,14 +33,14 @@
   Incarnation incarnation = 0;
   NodeState state = NodeState::kStarting;
   LoadReport load;
-  TimeUs heard_at = 0;                // When the last report arrived.
+  TimeUs last_report_at = 0;          // When the last report arrived.
   std::uint32_t own_in_progress = 0;  // Calls of this entry.
   std::uint32_t own_urgent = 0;       // Urgent calls among them.
   // The values of the previous two when the last report arrived.
   std::uint32_t own_at_report = 0;
   std::uint32_t own_urgent_at_report = 0;
   // The part of `PoolLoad`'s sums that is from this replica.
-  ReplicaLoad counted;
+  ReplicaLoad counted_load;
   bool in_subset = false;  // Whether this entry sends calls to the replica.
   ReplicaHealth health;
   DurationUs latency = 0;  // Moving average of the answer times seen here.
--- a/src/state/serving_config.h
+++ b/src/state/serving_config.h
@@ -98,7 +98,8 @@
 struct ClientLimits {
   std::uint64_t head_bytes = 16 << 10;
   std::uint64_t body_bytes = 4 << 20;
-  DurationUs head_time = 3 * kSecond;   // Timeout to receive a request head.
+  // Maximum time from the first to the last byte of a request.
+  DurationUs request_time = 3 * kSecond;
   DurationUs idle_time = 15 * kSecond;  // Timeout of idle connections.
 };
 
--- a/src/state/table_rows.h
+++ b/src/state/table_rows.h
@@ -21,7 +21,8 @@
 struct TableAnswer {
   enum class Kind {
     kRows,
-    kHistoryGone,  // The store no longer has all changes since that version.
+    kHistoryTruncated,  // The store no longer has all changes since that
+                        // version.
     kFailed,
     kStoreLost,  // Another gateway answered that it cannot reach the store.
   };
--- a/src/transport/http_channels.cc
+++ b/src/transport/http_channels.cc
@@ -432,8 +432,8 @@
   if (it == impl_->idle.end()) {
     return;
   }
-  const std::vector<Impl::Channel*> gone = it->second;
-  for (Impl::Channel* channel : gone) {
+  const std::vector<Impl::Channel*> idle_channels = it->second;
+  for (Impl::Channel* channel : idle_channels) {
     impl_->Remove(channel);
   }
 }
--- a/src/transport/http_listener.cc
+++ b/src/transport/http_listener.cc
@@ -166,7 +166,8 @@
     if (id_ != 0) {
       return false;
     }
-    if (reading_since_ != 0 && now - reading_since_ > owner_->limits.head) {
+    if (reading_since_ != 0 &&
+        now - reading_since_ > owner_->limits.request_time) {
       Refuse(408, "the request was not sent in time");
       return false;
     }
--- a/src/transport/http_listener.h
+++ b/src/transport/http_listener.h
@@ -26,7 +26,7 @@
 struct ListenerLimits {
   HttpReadLimits read;
   // Time in which a request must arrive, from its first byte to its last.
-  DurationUs head = 3 * kSecond;
+  DurationUs request_time = 3 * kSecond;
   // Time for which a connection may be idle between requests.
   DurationUs idle = 15 * kSecond;
   std::size_t connections = 2000;
--- a/src/transport/http_server.cc
+++ b/src/transport/http_server.cc
@@ -407,7 +407,7 @@
   impl_->closing = true;
 }
 
-std::size_t HttpServer::Open() const {
+std::size_t HttpServer::UnfinishedRequests() const {
   return impl_->open.size();
 }
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -74,7 +74,7 @@
   // From now on each answer carries "Connection: close".
   void CloseConnections();
   // Number of requests whose answers have not been written completely.
-  std::size_t Open() const;
+  std::size_t UnfinishedRequests() const;
   std::size_t connections() const;
 
  private:
--- a/src/transport/log_writer.cc
+++ b/src/transport/log_writer.cc
@@ -11,7 +11,7 @@
 namespace acaciachute {
 namespace {
 
-constexpr std::array<std::string_view, 2> kFleetEvents = {"peer", "replica"};
+constexpr std::array<std::string_view, 2> kPeerEvents = {"peer", "replica"};
 
 }  // namespace
 
@@ -31,9 +31,9 @@
   auto it = rates_.find(event);
   if (it == rates_.end()) {
     it = rates_.emplace(event, Rate{}).first;
-    if (std::find(kFleetEvents.begin(), kFleetEvents.end(), event) !=
-        kFleetEvents.end()) {
-      it->second.max_lines = kMaxFleetLinesPerSecond;
+    if (std::find(kPeerEvents.begin(), kPeerEvents.end(), event) !=
+        kPeerEvents.end()) {
+      it->second.max_lines = kMaxPeerEventLinesPerSecond;
     }
   }
   Rate& rate = it->second;
--- a/src/transport/log_writer.h
+++ b/src/transport/log_writer.h
@@ -32,7 +32,7 @@
   // replicas these were six lines in ten, and hosts with a tenth of a core
   // spent CPU time on them when they were busiest. Lines above the limit are
   // counted as dropped; the log of some other host has them.
-  static constexpr std::uint32_t kMaxFleetLinesPerSecond = 30;
+  static constexpr std::uint32_t kMaxPeerEventLinesPerSecond = 30;
   static constexpr DurationUs kFlushPeriod = 50 * kMillisecond;
 
   // Writes to `descriptor`, which it makes non-blocking.
--- a/tests/caller_http_test.cc
+++ b/tests/caller_http_test.cc
@@ -208,7 +208,7 @@
         reply.headers.begin(), reply.headers.end(), [](const auto& it) {
           return it.first == "Retry-After" && it.second == "2";
         });
-    EXPECT_EQ(told, kRefusals[n].retryable) << kRefusals[n].name;
+    EXPECT_EQ(has_retry_after, kRefusals[n].retryable) << kRefusals[n].name;
   }
 }
 
--- a/tests/core_driver.cc
+++ b/tests/core_driver.cc
@@ -385,7 +385,7 @@
   EntryProcess* process = &entries_[n];
   if (process->alive) {
     Deliver(process, [this, process, handle] {
-      process->core->OnCallerGone(now_, handle);
+      process->core->OnCallerDisconnected(now_, handle);
     });
   }
 }
--- a/tests/fence_test.cc
+++ b/tests/fence_test.cc
@@ -16,8 +16,8 @@
 // A sidecar's fence guard between the lease's row and an upstream that either
 // checks and remembers fencing numbers, or ignores them.
 struct Rig : FenceOutput {
-  explicit Rig(bool upstream_keeps_numbers)
-      : keeps_numbers(upstream_keeps_numbers) {
+  explicit Rig(bool upstream_enforces_fence)
+      : enforces_fence(upstream_enforces_fence) {
     Replace(kSidecar);
   }
 
@@ -39,7 +39,8 @@
     guard = std::make_unique<FenceGuard>(next, this, &metrics);
     guard->Start(now);
     AnswerReads();
-    guard->OnUpstreamFence(keeps_numbers, keeps_numbers ? upstream_number : 0);
+    guard->OnUpstreamFence(enforces_fence,
+                           enforces_fence ? upstream_number : 0);
   }
   void AnswerReads() {
     while (!tickets.empty()) {
@@ -68,24 +69,24 @@
   }
   void Execute() {
     const ControlOrder order = forwarded.back();
-    if (keeps_numbers && order.fence < upstream_number) {
+    if (enforces_fence && order.fence < upstream_number) {
       guard->OnOutcome(now, order.order_id, OrderOutcome::kRefused,
                        upstream_number);
       return;
     }
     upstream_number = std::max(upstream_number, order.fence);
-    if (!keeps_numbers || ids.insert(order.order_id).second) {
+    if (!enforces_fence || ids.insert(order.order_id).second) {
       executed.push_back(order);
     }
     guard->OnOutcome(now, order.order_id, OrderOutcome::kDone, 0);
   }
 
-  const bool keeps_numbers;
+  const bool enforces_fence;
   Incarnation incarnation = 0;
   TimeUs now = 100 * kSecond;
   std::optional<FenceNumber> row = 1;
   FenceNumber upstream_number = 0;
-  // Order ids remembered by an upstream that keeps numbers.
+  // Order ids remembered by an upstream that enforces fencing numbers.
   std::set<std::string> ids;
   Metrics metrics;
   std::vector<std::uint64_t> tickets;
@@ -202,7 +203,7 @@
 // The upstream was replaced and has a larger number than the row that was read:
 // its refusal is forwarded with that number.
 TEST(FenceUpstreamTest, UpstreamsOwnNumberCounts) {
-  Rig rig(/*upstream_keeps_numbers=*/true);
+  Rig rig(/*upstream_enforces_fence=*/true);
   rig.row = 2;
   rig.upstream_number = 5;
   EXPECT_EQ(rig.Send(rig.Make("a", 2)), Refusal::kFenced);
@@ -213,7 +214,7 @@
 // The connection to the upstream is lost with an order in progress. The order
 // may have been executed, so a repetition is not forwarded again.
 TEST(FenceUpstreamTest, OrderOfUnknownOutcomeIsNotPassedAgain) {
-  Rig rig(/*upstream_keeps_numbers=*/false);
+  Rig rig(/*upstream_enforces_fence=*/false);
   rig.row = 2;
   rig.guard->OnOrder(rig.now, "entry-0", rig.Make("a", 2));
   rig.AnswerReads();
@@ -225,7 +226,7 @@
 
 // Many orders under one number must not grow the stored outcomes without limit.
 TEST(FenceUpstreamTest, OutcomesAreBounded) {
-  Rig rig(/*upstream_keeps_numbers=*/false);
+  Rig rig(/*upstream_enforces_fence=*/false);
   rig.row = 2;
   for (std::size_t n = 0; n < FenceGuard::kMaxOutcomes; ++n) {
     rig.Send(rig.Make(std::to_string(n), 2));
--- a/tests/gateway/cold_replica_limiter_test.cc
+++ b/tests/gateway/cold_replica_limiter_test.cc
@@ -60,7 +60,7 @@
             ColdReplicaLimiter* limit,
             const ReplicaEntry& replica) {
   int sent = 0;
-  while (limit->Takes(now, replica) && sent < 1000) {
+  while (limit->MaySend(now, replica) && sent < 1000) {
     limit->OnSent(replica);
     ++sent;
   }
@@ -91,13 +91,13 @@
   TimeUs now = kSecond;
   EXPECT_EQ(SendAll(now, limit.get(), replica), 1);
   now += 3 * kSecond;
-  EXPECT_FALSE(limit->Takes(now, replica));
+  EXPECT_FALSE(limit->MaySend(now, replica));
   limit->OnArrived(now, replica);
-  EXPECT_FALSE(limit->Takes(now + kSecond, replica));
-  EXPECT_TRUE(limit->Takes(now + kSecond + 1, replica));
+  EXPECT_FALSE(limit->MaySend(now + kSecond, replica));
+  EXPECT_TRUE(limit->MaySend(now + kSecond + 1, replica));
   limit->OnSent(replica);
   limit->OnNotSent(replica);
-  EXPECT_TRUE(limit->Takes(now + kSecond + 1, replica));
+  EXPECT_TRUE(limit->MaySend(now + kSecond + 1, replica));
 }
 
 // Requests of the last second count if the replica becomes cold within it.
@@ -106,15 +106,15 @@
   const auto limit = LimitOf("g0", Names(26));
   EXPECT_EQ(SendAll(kSecond, limit.get(), replica), 1000);
   replica.cold_until = 10 * kSecond;
-  EXPECT_FALSE(limit->Takes(kSecond + 1, replica));
+  EXPECT_FALSE(limit->MaySend(kSecond + 1, replica));
 }
 
 // A gateway that does not know the other gateways yet sends nothing to cold
 // replicas.
-TEST(ColdReplicaLimiterTest, WhoKnowsNoGatewaysSendsNothing) {
+TEST(ColdReplicaLimiterTest, SendsNothingWithoutKnownGateways) {
   const auto limit = LimitOf("g0", {});
-  EXPECT_FALSE(limit->Takes(kSecond, ColdReplica(9 * kSecond)));
-  EXPECT_TRUE(limit->Takes(kSecond, ColdReplica(0)));
+  EXPECT_FALSE(limit->MaySend(kSecond, ColdReplica(9 * kSecond)));
+  EXPECT_TRUE(limit->MaySend(kSecond, ColdReplica(0)));
 }
 
 // The evacuation of a failure domain ends. Its replicas count as cold although
@@ -221,7 +221,7 @@
               ? std::vector<NodeId>(it.known.begin(), it.known.end())
               : std::vector<NodeId>());
       const auto wanted_requests = static_cast<int>(random->Below(4));
-      for (int n = 0; n < wanted_requests && it.limit->Takes(now, replica);
+      for (int n = 0; n < wanted_requests && it.limit->MaySend(now, replica);
            ++n) {
         it.limit->OnSent(replica);
         const auto link = kMillisecond + static_cast<DurationUs>(
--- a/tests/gateway/evacuation_test.cc
+++ b/tests/gateway/evacuation_test.cc
@@ -174,8 +174,8 @@
   void OnPiece(const PieceResult& result) override {
     results.push_back(result);
   }
-  void FreeAt(const Address& replica,
-              const std::vector<std::string>&) override {
+  void ReleaseAt(const Address& replica,
+                 const std::vector<std::string>&) override {
     freed.push_back(replica.ip);
   }
   void OnInputsRead(const std::vector<std::string>&) override {}
@@ -228,7 +228,7 @@
                      {{{"first", 0, 0}, PieceOutcome::kMade, handle}}});
   ASSERT_EQ(output.results.size(), 1U);
   EXPECT_EQ(output.results[0].handle, handle);
-  batcher.Free({handle});
+  batcher.ReleaseResults({handle});
   batcher.OnTick(now += 10 * kMillisecond);
   EXPECT_TRUE(output.freed.empty());
 }
--- a/tests/gateway/fill_call_test.cc
+++ b/tests/gateway/fill_call_test.cc
@@ -71,7 +71,7 @@
 // A request that has waited longer by the duration of a call goes before one
 // with near inputs, so the requests of a domain with slow replicas do not
 // starve.
-TEST(FillCallTest, TakesWhatWaitedMuchLongerBeforeWhatIsNear) {
+TEST(FillCallTest, TakesMuchOlderGroupsBeforeGroupsWithNearInputs) {
   std::vector<WaitingGroup> groups = {Group(10), Group(10, kNearAgeBonus + 1)};
   groups[0].inputs_near = false;
   EXPECT_EQ(FillCall(groups, {10, 10, 0}), (std::vector<std::size_t>{0}));
@@ -94,7 +94,7 @@
 
 // If several replicas are free, each takes its share and the remaining pieces
 // go to the next.
-TEST(FillCallTest, StopsAtItsShare) {
+TEST(FillCallTest, StopsAtTheReplicasShare) {
   const std::vector<WaitingGroup> groups = {Group(4), Group(4, 1), Group(4, 2)};
   EXPECT_EQ(FillCall(groups, {5, 40, 0}).size(), 2U);
 }
--- a/tests/gateway/freshness_test.cc
+++ b/tests/gateway/freshness_test.cc
@@ -49,7 +49,7 @@
 // Guards against a gateway that reaches the store but uses a replica list
 // without a limit on its age, because the gateway that it asks has lost the
 // store without noticing.
-TEST(FreshnessTest, AListIsYoungAlthoughTheRelayLostTheStore) {
+TEST(FreshnessTest, ReplicaListStaysFreshAlthoughTheRelayLostTheStore) {
   TableNet net(23, 4);
   net.Run(5 * kSecond);
   net.StopStoreAnswers(net.Relays().front());
--- a/tests/gateway/gateway_rig.h
+++ b/tests/gateway/gateway_rig.h
@@ -189,8 +189,10 @@
   void Submit(TimeUs, std::vector<PieceTask> list) override {
     tasks.insert(tasks.end(), list.begin(), list.end());
   }
-  void Drop(const std::string& request) override { dropped.push_back(request); }
-  void Free(const std::vector<std::string>& handles) override {
+  void CancelRequest(const std::string& request) override {
+    dropped.push_back(request);
+  }
+  void ReleaseResults(const std::vector<std::string>& handles) override {
     freed.insert(freed.end(), handles.begin(), handles.end());
   }
   QueueWait ExpectedWait(TimeUs, const std::string&) const override {
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -219,7 +219,7 @@
   GatewayRig rig;
   rig.AddReplica("r1", "app");
   const ExchangeId id = rig.Call("plain");
-  rig.core.OnGone(id);
+  rig.core.OnClientDisconnected(id);
   EXPECT_EQ(rig.cancelled, std::vector<CallId>{rig.sent[0].call});
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
@@ -357,7 +357,7 @@
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 2});
   rig.Made(rig.tasks[0], "10.0.0.9:80/a");
-  rig.core.OnGone(id);
+  rig.core.OnClientDisconnected(id);
   EXPECT_EQ(rig.dropped, std::vector<std::string>{"c1"});
   EXPECT_EQ(rig.freed, std::vector<std::string>{"10.0.0.9:80/a"});
 }
@@ -428,7 +428,7 @@
   rig.AddReplica("e1", "engine");
   rig.wait.in_time.fill(3 * kSecond);
   rig.wait.late = 1600 * kMillisecond;
-  rig.core.OnGone(rig.Call("staged", "k1", {1, 2}));
+  rig.core.OnClientDisconnected(rig.Call("staged", "k1", {1, 2}));
   rig.wait = {};
   rig.Pass(200 * kMillisecond);
   EXPECT_TRUE(rig.tasks.empty());
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -85,13 +85,13 @@
   bool ShortOfMemory(const std::vector<std::string>&) override {
     return short_of_memory;
   }
-  void FreeAt(const Address&,
-              const std::vector<std::string>& handles) override {
+  void ReleaseAt(const Address&,
+                 const std::vector<std::string>& handles) override {
     freed.insert(freed.end(), handles.begin(), handles.end());
   }
   void OnReplica(const ReplicaEntry& replica, DirectoryChange change) override {
-    if (change == DirectoryChange::kGone) {
-      batcher.OnReplicaGone(now, replica.id);
+    if (change == DirectoryChange::kRemoved) {
+      batcher.OnReplicaRemoved(now, replica.id);
     } else if (change == DirectoryChange::kRestarted) {
       batcher.OnReplicaRestarted(now, replica.id);
     }
@@ -155,7 +155,7 @@
 
 // A request that can still be on time goes before a backlog of requests that
 // are late already.
-TEST(PieceBatcherTest, TakesWhatCanBeOnTimeBeforeWhatIsLate) {
+TEST(PieceBatcherTest, TakesOnTimePiecesBeforeLatePieces) {
   BatcherRig rig;
   rig.AddReplicas(1);
   for (int n = 0; n < 30; ++n) {
@@ -200,7 +200,7 @@
   EXPECT_EQ(rig.calls[0].pieces.size(), 3U);
   rig.CompleteCall(rig.calls[0]);
   EXPECT_EQ(rig.calls.size(), 1U);
-  rig.batcher.Free({rig.results[0].handle});
+  rig.batcher.ReleaseResults({rig.results[0].handle});
   rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
   EXPECT_EQ(rig.calls[1].pieces.size(), 1U);
@@ -255,7 +255,7 @@
   BatcherRig rig;
   rig.AddReplicas(1);
   rig.Add(BatcherRig::Task("gone", 0));
-  rig.batcher.Drop("gone");
+  rig.batcher.CancelRequest("gone");
   rig.Advance(10 * kMs);
   EXPECT_TRUE(rig.calls.empty());
   EXPECT_TRUE(rig.batcher.Idle());
@@ -476,7 +476,7 @@
   rig.batcher.OnCallEnd(rig.now, rig.calls[0].id,
                         {PieceCallEnd::Kind::kBroken, "reset", {}});
   ASSERT_EQ(rig.results.size(), 1U);
-  EXPECT_EQ(rig.results[0].outcome, PieceOutcome::kInputGone);
+  EXPECT_EQ(rig.results[0].outcome, PieceOutcome::kInputMissing);
   EXPECT_EQ(rig.calls.size(), 1U);
 }
 
@@ -506,7 +506,7 @@
   EXPECT_EQ(rig.calls.size(), 2U);
   EXPECT_TRUE(rig.read.empty()) << "the first waits to read them again";
   rig.CompleteCall(rig.calls[1]);
-  rig.batcher.Free({"10.0.0.2:80/r.1"});  // Frees memory.
+  rig.batcher.ReleaseResults({"10.0.0.2:80/r.1"});  // Frees memory.
   rig.Advance(10 * kMs);
   ASSERT_EQ(rig.calls.size(), 3U);
   rig.Advance(110 * kMs);
@@ -527,7 +527,7 @@
   ASSERT_EQ(rig.calls.size(), 2U);
   PieceCallEnd end;
   end.kind = PieceCallEnd::Kind::kAnswered;
-  end.results.push_back({task.key, PieceOutcome::kInputGone, ""});
+  end.results.push_back({task.key, PieceOutcome::kInputMissing, ""});
   rig.batcher.OnCallEnd(rig.now, rig.calls[1].id, end);
   EXPECT_TRUE(rig.results.empty());
   rig.CompleteCall(rig.calls[0]);
--- a/tests/gateway/replica_directory_model_test.cc
+++ b/tests/gateway/replica_directory_model_test.cc
@@ -184,7 +184,7 @@
         directory.OnStoreLost(now);
         break;
       case 3:
-        directory.OnStoreBack(now);
+        directory.OnStoreRecovered(now);
         break;
       case 4:
         seen.insert(entry.id);
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -43,7 +43,7 @@
   rig.directory.OnStoreLost(now);
   now += 10 * kSecond;
   rig.directory.OnStoreLost(now);
-  rig.directory.OnStoreBack(now);
+  rig.directory.OnStoreRecovered(now);
   rig.directory.Replace(now, {}, {});
   EXPECT_EQ(rig.directory.Of("s").size(), 2U);
   rig.directory.Put(DirectoryRig::Entry("alive"));
@@ -63,7 +63,7 @@
   rig.directory.Put(DirectoryRig::Entry("r"));
   rig.directory.OnStoreLost(now);
   now += 2500 * kMillisecond;
-  rig.directory.OnStoreBack(now);
+  rig.directory.OnStoreRecovered(now);
   rig.directory.Remove(now, "r");
   EXPECT_EQ(rig.directory.Of("s").size(), 1U);
   now += 500 * kMillisecond;
--- a/tests/gateway/shared_piece_dispatcher_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -46,10 +46,10 @@
       return true;
     }
     void OnInputsRead(const std::vector<std::string>& released) override {
-      dispatcher.Free(released);
+      dispatcher.ReleaseResults(released);
     }
-    void FreeAt(const Address&,
-                const std::vector<std::string>& released) override {
+    void ReleaseAt(const Address&,
+                   const std::vector<std::string>& released) override {
       freed.insert(freed.end(), released.begin(), released.end());
     }
     void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
@@ -176,8 +176,8 @@
   EXPECT_EQ(owner.received[1].key.request, "s");
 }
 
-// Requests continue although the batching gateway dies with their pieces: the
-// pieces are sent to the next one at once.
+// Requests continue although the batching gateway crashes with their pieces:
+// the pieces are sent to the next one at once.
 TEST(SharedPieceDispatcherTest, ResubmitsPiecesWhenTheBatchingGatewayIsLost) {
   DispatcherNet net(3);
   net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
@@ -255,14 +255,14 @@
   DispatcherNet net(2);
   net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  net.At(net.other).dispatcher.Drop("r");
+  net.At(net.other).dispatcher.CancelRequest("r");
   net.Deliver();
   EXPECT_TRUE(net.At(net.owner).dispatcher.HasNoPeerRequests());
   EXPECT_TRUE(net.At(net.owner).local.Idle() ||
               net.At(net.owner).calls.size() == 1);
 }
 
-// Pieces of a gateway that died are cancelled.
+// Pieces of a gateway that crashed are cancelled.
 TEST(SharedPieceDispatcherTest, ForgetsTheRequestsOfALostGateway) {
   DispatcherNet net(2);
   auto& owner = net.At(net.owner);
@@ -299,7 +299,7 @@
   peers.OnTick(now);
   EXPECT_TRUE(peers.TakeLost(now).empty());
   EXPECT_TRUE(log.Saw("suspended"));
-  // One of them died during the suspension.
+  // One of them crashed during the suspension.
   peers.OnGatewayHeartbeat(now + kSecond / 10, "a", 1, {});
   std::vector<NodeId> lost;
   const TimeUs resumed = now;
--- a/tests/gateway/store_requests_test.cc
+++ b/tests/gateway/store_requests_test.cc
@@ -9,10 +9,10 @@
 namespace {
 
 struct StoreRig : StoreReader {
-  void Ask(const StoreRequest& request) override {
+  void SendRequest(const StoreRequest& request) override {
     open_ids.push_back(request.id);
   }
-  void Forget(const std::string&, std::uint64_t id) override {
+  void CancelRequest(const std::string&, std::uint64_t id) override {
     std::erase(open_ids, id);
   }
 
@@ -25,7 +25,7 @@
 TEST(StoreRequestsTest, KeepsTheOldestAndTheNewest) {
   StoreRig rig;
   for (int n = 0; n < 10; ++n) {
-    rig.requests.Ask(n * kSecond, {false, "", 5, 0});
+    rig.requests.SendRequest(n * kSecond, {false, "", 5, 0});
     EXPECT_LE(rig.open_ids.size(), StoreRequests::kMaxInFlight);
   }
   EXPECT_EQ(rig.open_ids, (std::vector<std::uint64_t>{1, 9, 10}));
@@ -37,8 +37,8 @@
 TEST(StoreRequestsTest, AwaitsTheNewestOnlyAndForATime) {
   StoreRig rig;
   EXPECT_EQ(rig.requests.Awaited(), nullptr);
-  rig.requests.Ask(0, {false, "", 5, kSecond});
-  rig.requests.Ask(0, {false, "", 5, 0});
+  rig.requests.SendRequest(0, {false, "", 5, kSecond});
+  rig.requests.SendRequest(0, {false, "", 5, 0});
   ASSERT_NE(rig.requests.Awaited(), nullptr);
   EXPECT_EQ(rig.requests.Awaited()->id, 2U);
   EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond - 1, kSecond));
@@ -55,7 +55,7 @@
 // The time limit starts after the time for which the store holds the request.
 TEST(StoreRequestsTest, ARequestThatIsHeldHasItsWaitOnTop) {
   StoreRig rig;
-  rig.requests.Ask(0, {false, "", 5, kSecond});
+  rig.requests.SendRequest(0, {false, "", 5, kSecond});
   EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond, kSecond));
   EXPECT_TRUE(rig.requests.TimeOutAwaited(2 * kSecond, kSecond));
 }
--- a/tests/gateway/table_net.h
+++ b/tests/gateway/table_net.h
@@ -70,7 +70,7 @@
       lost = false;
       peers = std::make_unique<GatewayPeers>(self, &log);
       directory = std::make_unique<ReplicaDirectory>(this);
-      directory->SetMaxRetention(kContact);
+      directory->SetMaxRetention(kRecoveryBound);
       relay = std::make_unique<TableRelay>("t", this);
       source = std::make_unique<TableSource>(
           "t", &net->plan_, peers.get(), this, this, &random, &metrics, &log,
@@ -81,10 +81,10 @@
                                            &random, &log);
     }
 
-    void Ask(const StoreRequest& request) override {
+    void SendRequest(const StoreRequest& request) override {
       net->OnCall({index, request, net->now_, false});
     }
-    void Forget(const std::string&, std::uint64_t id) override {
+    void CancelRequest(const std::string&, std::uint64_t id) override {
       std::erase_if(net->open_calls_, [&](const Call& it) {
         return it.from == index && it.request.id == id;
       });
@@ -120,7 +120,7 @@
     void OnTableCurrent(const std::string&, TimeUs at) override {
       known_at = std::max(known_at, at);
       lost = false;
-      directory->OnStoreBack(net->now_);
+      directory->OnStoreRecovered(net->now_);
       relay->OnCurrent(at, watch->version());
     }
     void OnTableLost(const std::string&) override {
@@ -321,7 +321,7 @@
     }
     const TableQuery& query = call.request.query;
     if (!query.whole && query.after < history_from_) {
-      answer.kind = TableAnswer::Kind::kHistoryGone;
+      answer.kind = TableAnswer::Kind::kHistoryTruncated;
       return answer;
     }
     answer.kind = TableAnswer::Kind::kRows;
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -27,11 +27,11 @@
       peers.OnGatewayHeartbeat(now, it, 1, heartbeat);
     }
   }
-  void Ask(const StoreRequest& request) override {
+  void SendRequest(const StoreRequest& request) override {
     ++store_request_count;
     store_requests.push_back(request);
   }
-  void Forget(const std::string&, std::uint64_t id) override {
+  void CancelRequest(const std::string&, std::uint64_t id) override {
     cancelled.push_back(id);
   }
   void AnswerFromStore(const TableAnswer& answer) {
@@ -261,7 +261,7 @@
   SourceRig rig;
   rig.ReceiveTable(5);
   TableAnswer history_gone;
-  history_gone.kind = TableAnswer::Kind::kHistoryGone;
+  history_gone.kind = TableAnswer::Kind::kHistoryTruncated;
   rig.source.ReadChanges(rig.now, "t", 5, kSecond);
   rig.Reply(history_gone);
   EXPECT_TRUE(rig.answers.empty());
@@ -275,7 +275,7 @@
   rig.source.ReadChanges(rig.now, "t", 5, 0);
   rig.Reply(history_gone);
   ASSERT_EQ(rig.answers.size(), 2U);
-  EXPECT_EQ(rig.answers[1].kind, TableAnswer::Kind::kHistoryGone);
+  EXPECT_EQ(rig.answers[1].kind, TableAnswer::Kind::kHistoryTruncated);
 }
 
 // The failure of a request that a newer one replaced is not reported.
--- a/tests/gateway/table_watch_test.cc
+++ b/tests/gateway/table_watch_test.cc
@@ -114,7 +114,7 @@
   rig.Advance(0);
   rig.Answer(8, {{"a", "", 8, false}});
   TableAnswer history_gone;
-  history_gone.kind = TableAnswer::Kind::kHistoryGone;
+  history_gone.kind = TableAnswer::Kind::kHistoryTruncated;
   rig.watch.OnAnswer(rig.now, history_gone);
   EXPECT_EQ(rig.requests.back(), "rows ");
   rig.Answer(5, {{"old", "", 5, false}});
--- a/tests/gateway/transport_test.cc
+++ b/tests/gateway/transport_test.cc
@@ -320,7 +320,7 @@
 // closes another socket whose event is already pending, and a new socket gets
 // the same descriptor number. The pending event must not be delivered to the
 // new socket.
-TEST(SocketPollerTest, TellsNoEventOfAClosedSocketToTheNextOne) {
+TEST(SocketPollerTest, DeliversNoEventOfAClosedSocketToANewSocket) {
   struct Watcher : SocketWatcher {
     void OnReadable() override { on_readable(); }
     void OnWritable() override {}
@@ -507,7 +507,7 @@
 // and its connection is closed.
 TEST(HttpListenerTest, EndsAStalledHead) {
   ListenerLimits limits;
-  limits.head = 100 * kMs;
+  limits.request_time = 100 * kMs;
   ListenerRig rig(limits);
   rig.Connect();
   rig.client->Write("GET /a HTT");
@@ -580,8 +580,8 @@
     log.Write("request", {{"id", n}});
   }
   // The lines may fall into two seconds, each with its own limit.
-  EXPECT_GE(log.dropped(), 100U - 2 * LogWriter::kMaxFleetLinesPerSecond);
-  EXPECT_LE(log.dropped(), 100U - LogWriter::kMaxFleetLinesPerSecond);
+  EXPECT_GE(log.dropped(), 100U - 2 * LogWriter::kMaxPeerEventLinesPerSecond);
+  EXPECT_LE(log.dropped(), 100U - LogWriter::kMaxPeerEventLinesPerSecond);
   log.Flush();
   close(ends[0]);
 }
--- a/tests/load_decisions_test.cc
+++ b/tests/load_decisions_test.cc
@@ -118,7 +118,7 @@
   EXPECT_EQ(choose(false), &good);
   EXPECT_EQ(choose(true), &bad);
   EXPECT_EQ(choose(true), &good);
-  while (bad.health.shunned()) {
+  while (bad.health.avoided()) {
     bad.health.OnSuccess();
     ASSERT_LE(++failures, 9);
   }
@@ -136,7 +136,7 @@
   for (int n = 0; n < 5; ++n) {
     only.health.OnFailure(kSecond);
   }
-  ASSERT_TRUE(only.health.shunned());
+  ASSERT_TRUE(only.health.avoided());
   EXPECT_EQ(router.Choose(kSecond, {&only}, {}, CallerClass::kUrgent, false),
             &only);
   EXPECT_EQ(
@@ -145,7 +145,8 @@
 }
 
 // A pool gets only non-idempotent calls, which are never probes. Without a time
-// limit on shunning, a replica that failed for a while would stay idle forever.
+// limit on its exclusion, a replica that failed for a while would stay idle
+// forever.
 TEST(RouterTest, ShunnedReplicaIsTrustedAgainWithoutProbes) {
   Random random(1);
   Router router(&random);
@@ -197,7 +198,7 @@
   EXPECT_EQ(choose({"only"}), nullptr);
   only.health.OnUnreachable();
   EXPECT_EQ(choose({}), nullptr);
-  only.health.OnHeard();
+  only.health.OnReport();
   EXPECT_EQ(choose({}), &only);
 }
 
@@ -261,11 +262,11 @@
   RetryBudget budget;
   int taken = 0;
   for (int n = 0; n < 1000; ++n) {
-    budget.OnFirstTry();
+    budget.OnFirstAttempt();
     taken += budget.Take() ? 1 : 0;
   }
-  EXPECT_LE(taken,
-            1000 * RetryBudget::kTokensPerFirstTry + RetryBudget::kMaxTokens);
+  EXPECT_LE(taken, 1000 * RetryBudget::kTokensPerFirstAttempt +
+                       RetryBudget::kMaxTokens);
   Random random(1);
   ReplicaTable replicas;
   LoadControl control("entry-1", &replicas, &random);
--- a/tests/load_properties_test.cc
+++ b/tests/load_properties_test.cc
@@ -86,7 +86,7 @@
   RC_ASSERT(shares.HasCredit(account, kWeights[account]));
 }
 
-// Requests are admitted, sent, answered, refused, failed and given up in any
+// Requests are admitted, sent, answered, refused, failed and abandoned in any
 // order. After all have ended, all counts are zero again.
 void CheckCountsReturnToZero() {
   Branch branch;
@@ -147,7 +147,7 @@
 }
 
 // Under any mix of load and failures, every request ends exactly once:
-// answered, refused or given up. No request that may run only once runs twice.
+// answered, refused or abandoned. No request that may run only once runs twice.
 void CheckEachRequestEndsOnce() {
   bench::Pattern pattern;
   pattern.load = *rc::gen::inRange(1, 30) / 10.0;
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -240,8 +240,8 @@
   }
 }
 
-// The entry itself is suspended for a minute. By its clock all sidecars were
-// silent for as long, while their answers wait in its socket.
+// The entry itself is suspended for a minute. By its clock no sidecar answered
+// for as long, while their answers wait in its socket.
 TEST(MembershipTest, OwnSuspensionSuspectsNoSidecar) {
   for (int offset = 0; offset < 30; ++offset) {
     MemberNet net(2, 5, 5);
@@ -260,7 +260,7 @@
 }
 
 // A new process starts under the same name. The attempts at its predecessor are
-// given up, once, and the new process gets work.
+// abandoned, once, and the new process gets work.
 TEST(MembershipTest, NewIncarnationEndsTheOldOnesAttempts) {
   MemberNet net(1, 2, 6);
   net.Run(kSecond);
--- a/tests/settings_net.h
+++ b/tests/settings_net.h
@@ -130,7 +130,8 @@
  private:
   struct Port : SettingsSyncOutput {
     Port(SettingsNet* net, int n) : net(net), n(n) {}
-    void Ask(const NodeId& peer, std::uint64_t sequence) override {
+    void SendGossipRequest(const NodeId& peer,
+                           std::uint64_t sequence) override {
       net->SendHeartbeat(n, Index(peer), sequence, 0);
     }
     void SendSettings(const NodeId& peer, const Message& message) override {
