--- a/src/coordination/admission/return_schedule.h
+++ b/src/coordination/admission/return_schedule.h
@@ -21,17 +21,17 @@
 
   // Limit on Retry-After; callers would not wait longer.
   static constexpr DurationUs kMaxRetryAfter = 30 * kSecond;
-  // Minimum Retry-After. Sooner, the load reports that caused the refusal would
-  // still be the same.
+  // Minimum Retry-After. A caller that returned earlier would be refused again
+  // on the basis of the same load reports.
   static constexpr DurationUs kMinRetryAfter = kSecond;
 
   // Returns the Retry-After of a caller refused now. `wait` is the minimum
-  // duration of the shortage, `call_time` the time in which the pool serves one
-  // more request, in microseconds.
-  DurationUs Next(TimeUs now, DurationUs wait, double call_time) {
+  // duration of the shortage, `completion_interval` the time in which the pool
+  // serves one more request, in microseconds.
+  DurationUs Next(TimeUs now, DurationUs wait, double completion_interval) {
     const TimeUs earliest = now + std::max(kMinRetryAfter, wait);
     last_return_at_ = std::max(last_return_at_, earliest) +
-                      static_cast<DurationUs>(call_time);
+                      static_cast<DurationUs>(completion_interval);
     if (last_return_at_ - now <= kMaxRetryAfter) {
       return last_return_at_ - now;
     }
--- a/src/coordination/choice/cold_replica_limiter.h
+++ b/src/coordination/choice/cold_replica_limiter.h
@@ -48,9 +48,9 @@
   // lifted after `kWarmUpDuration`.
   static constexpr DurationUs kWarmUpDuration = kSecond;
   static constexpr DurationUs kLimitDoublingPeriod = 250 * kMillisecond;
-  // Heartbeats of a replica until its row in the store shows that it is cold:
-  // the row may just have been rewritten (one heartbeat), and the next version
-  // needs time to arrive here (one more).
+  // Number of heartbeat periods of a replica until its row in the store shows
+  // that it is cold: the row may just have been rewritten (one heartbeat), and
+  // the next version needs time to arrive here (one more).
   static constexpr DurationUs kStaleRowHeartbeats = 2;
 
   explicit ColdReplicaLimiter(NodeId self) : self_(std::move(self)) {}
@@ -66,7 +66,7 @@
   // as known here, or still warming up.
   bool IsBounded(TimeUs now, const ReplicaEntry& replica) const;
   // Whether one more request may be sent to the replica now.
-  bool Takes(TimeUs now, const ReplicaEntry& replica);
+  bool MaySend(TimeUs now, const ReplicaEntry& replica);
 
   // A request was sent to the replica.
   void OnSent(const ReplicaEntry& replica);
@@ -75,7 +75,8 @@
   void OnArrived(TimeUs now, const ReplicaEntry& replica);
   // No byte of the request was sent.
   void OnNotSent(const ReplicaEntry& replica);
-  void OnReplicaGone(const ReplicaId& replica) {
+  // The replica was removed or restarted.
+  void OnReplicaRemoved(const ReplicaId& replica) {
     recent_requests_.erase(replica);
   }
 
--- a/src/coordination/choice/plain_choice.h
+++ b/src/coordination/choice/plain_choice.h
@@ -48,14 +48,16 @@
                              const std::vector<ReplicaId>& tried,
                              bool may_repeat);
   void OnSent(TimeUs now, const ReplicaId& replica);
-  // Result of a call. `OnEnded` follows either of the two; it is called alone
-  // for a call that its client gave up or that the replica refused.
+  // Result of a call. `OnEnded` is called after `OnAnswer` or `OnFailure`, and
+  // without either for a call that its client cancelled or that the replica
+  // refused.
   void OnAnswer(TimeUs now, const ReplicaId& replica, TimeUs sent_at);
   void OnFailure(TimeUs now, const ReplicaId& replica);
   void OnEnded(const ReplicaId& replica, TimeUs sent_at);
-  void OnReplicaGone(const ReplicaId& replica);
+  // The replica was removed or restarted.
+  void OnReplicaRemoved(const ReplicaId& replica);
   // Typical recent answer time over all replicas; a basis for hedging.
-  DurationUs Typical() const {
+  DurationUs TypicalAnswerTime() const {
     return static_cast<DurationUs>(typical_answer_time_);
   }
 
--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -76,7 +76,7 @@
   const ExchangeId id = request->id;
   // An earlier attempt may have run even if the last one did not, for example
   // because no replica was available or no time was left for another attempt.
-  // The client must not be told "not run" then.
+  // The verdict must then not be "not run".
   if (request->possible_runs > 0 && answer.verdict == Verdict::kNotRun) {
     answer.reason = Refusal::kUpstreamFailed;
     answer.verdict = Verdict::kMayHaveRun;
@@ -107,8 +107,8 @@
                            int status) {
   CancelAttempt(request);
   if (!request->route->stages.empty()) {
-    dispatcher->Drop(request->call.id);
-    dispatcher->Free(request->progress.TakeAll());
+    dispatcher->CancelRequest(request->call.id);
+    dispatcher->ReleaseResults(request->progress.TakeAll());
   }
   const TimeUs now = output->Now();
   metrics->Count("acaciachute_gateway_requests_total", outcome);
@@ -164,13 +164,12 @@
 
 void Gateway::Impl::Expire(ServingRequest* request) {
   if (request->attempt.call == 0 && request->possible_runs == 0) {
-    Refuse(request,
-           {Refusal::kFull, Verdict::kNotRun, 0,
-            "the deadline passed before the request was sent to a replica"});
+    Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
+                     "the time was over before a replica was reached"});
     return;
   }
   Refuse(request, {Refusal::kLate, Verdict::kMayHaveRun, 0,
-                   "the replica did not answer before the deadline"});
+                   "the replica did not answer in time"});
 }
 
 Gateway::Gateway(GatewayOptions options,
@@ -220,13 +219,13 @@
 
 void Gateway::OnReplica(const ReplicaEntry& replica, DirectoryChange change) {
   const bool restarted = change == DirectoryChange::kRestarted;
-  if (!restarted && change != DirectoryChange::kGone) {
+  if (!restarted && change != DirectoryChange::kRemoved) {
     return;
   }
-  impl_->cold.OnReplicaGone(replica.id);
-  impl_->engines.OnReplicaGone(replica.id);
+  impl_->cold.OnReplicaRemoved(replica.id);
+  impl_->engines.OnReplicaRemoved(replica.id);
   for (auto& [service, choice] : impl_->plain_choices) {
-    choice->OnReplicaGone(replica.id);
+    choice->OnReplicaRemoved(replica.id);
   }
   if (restarted) {
     impl_->FailAttemptsAt(replica.id);
@@ -254,7 +253,7 @@
   impl_->Admit(id, std::move(call));
 }
 
-void Gateway::OnGone(ExchangeId id) {
+void Gateway::OnClientDisconnected(ExchangeId id) {
   if (auto* request = impl_->FindByExchange(id)) {
     impl_->Finish(request, Name(Refusal::kCancelled), 0);
   }
@@ -302,17 +301,16 @@
   const auto it = impl_->by_request_id.find(result.key.request);
   if (it == impl_->by_request_id.end()) {
     if (!result.handle.empty()) {
-      impl_->dispatcher->Free({result.handle});
+      impl_->dispatcher->ReleaseResults({result.handle});
     }
     return;
   }
   ServingRequest* request = it->second;
   impl_->metrics->Count("acaciachute_gateway_pieces_total",
                         Name(result.outcome));
-  if (result.outcome == PieceOutcome::kInputGone) {
-    impl_->RestartStages(request,
-                         StrCat("stage ", result.key.stage,
-                                ": an input result is no longer available"));
+  if (result.outcome == PieceOutcome::kInputMissing) {
+    impl_->RestartStages(
+        request, StrCat("stage ", result.key.stage, " found a result gone"));
     return;
   }
   if (result.outcome != PieceOutcome::kMade) {
@@ -327,7 +325,7 @@
     request->stage_times += StrCat(request->stage_times.empty() ? "" : " ",
                                    result.key.stage, ":", after / kMillisecond);
   }
-  impl_->dispatcher->Free(request->progress.TakeUnneeded());
+  impl_->dispatcher->ReleaseResults(request->progress.TakeUnneeded());
   impl_->RunStages(request);
 }
 
@@ -346,7 +344,7 @@
     const bool sent = it->attempt.call != 0 || it->possible_runs > 0;
     impl_->Refuse(it, {sent ? Refusal::kUpstreamFailed : Refusal::kLeaving,
                        sent ? Verdict::kMayHaveRun : Verdict::kNotRun, 0,
-                       "the gateway is shutting down"});
+                       "the node leaves"});
   }
 }
 
--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -156,7 +156,7 @@
   // A client's request arrived.
   void OnCall(ExchangeId id, ClientRequest call);
   // The client closed its connection.
-  void OnGone(ExchangeId id);
+  void OnClientDisconnected(ExchangeId id);
   // Bytes queued for the client were written; reading from the replica may
   // resume.
   void OnWritten(ExchangeId id);
@@ -187,8 +187,9 @@
   void SetGatewayCount(std::size_t n);
   // See `ColdReplicaLimiter::SetGateways`.
   void SetKnownGateways(std::vector<NodeId> gateways);
-  // Whether another gateway can check keys. If this one cannot, refused clients
-  // are told to retry at once, so that they reach the other one.
+  // Whether another gateway can check keys. If this gateway cannot, it refuses
+  // requests with a short Retry-After, because a new connection most likely
+  // reaches a gateway that can.
   void SetPeerCanCheckKeys(bool can_check_keys);
   EngineChoice* engines();
   // The retry budget of a service; the stage pieces of that service share it.
--- a/src/coordination/gateway/gateway_stages.cc
+++ b/src/coordination/gateway/gateway_stages.cc
@@ -34,8 +34,8 @@
   return largest == count.end() ? std::string() : largest->first;
 }
 
-// Transfers between failure domains are charged by their size. Small results
-// are not worth a preference.
+// Transfers between failure domains are charged by their size. For small
+// results no failure domain is preferred.
 std::string Gateway::Impl::PreferredDomain(const ServingRequest& request,
                                            std::uint32_t stage) const {
   constexpr std::uint64_t kMinRelevantBytes = 32 << 10;
@@ -121,20 +121,18 @@
 // for it.
 void Gateway::Impl::RestartStages(ServingRequest* request,
                                   std::string_view why) {
-  dispatcher->Free(request->progress.TakeAll());
-  dispatcher->Drop(request->call.id);
+  dispatcher->ReleaseResults(request->progress.TakeAll());
+  dispatcher->CancelRequest(request->call.id);
   if (++request->restarts > kMaxStageRestarts) {
-    Refuse(
-        request,
-        {Refusal::kFull, Verdict::kNotRun, 0,
-         "stage results were lost more often than the restart limit allows"});
+    Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
+                     "results of stages were lost too often"});
     return;
   }
   request->progress.Restart();
   const DurationUs left = request->first_response_by - output->Now();
   if (request->progress.TimeLeft() + kEngineFirstEventTime > left) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
-                     StrCat("not enough time to run the stages again: ", why)});
+                     StrCat("no time to begin again: ", why)});
     return;
   }
   log->Write(
--- a/src/coordination/interface/entry.cc
+++ b/src/coordination/interface/entry.cc
@@ -152,11 +152,11 @@
       call.deadline == 0 ? event->max_deadline : call.deadline;
   if (deadline < 0 || deadline > event->max_deadline) {
     return refuse(Refusal::kMalformed,
-                  StrCat("the deadline exceeds the event's maximum of ",
+                  StrCat("the deadline is past the event's longest, ",
                          event->max_deadline / kMillisecond, " ms"));
   }
   if (!call.idempotent && call.key.empty()) {
-    return refuse(Refusal::kMalformed, "an idempotency key is required");
+    return refuse(Refusal::kMalformed, "a key is required");
   }
   // A request that waited in the event loop past its deadline is refused before
   // it causes any work.
@@ -292,13 +292,13 @@
   ExportRequest(now, request, answer);
   const RequestId id = request.id;
   const CallerHandle handle = request.call.handle;
-  const bool gone = request.caller_gone;
+  const bool disconnected = request.caller_disconnected;
   load.OnRequestEnd(&request.load);
   deadlines.erase({request.deadline, id});
   by_handle.erase(handle);
   requests.erase(id);
   claims->End(now, id, answer);
-  if (!gone) {
+  if (!disconnected) {
     output->Answer(handle, answer);
   }
 }
@@ -388,13 +388,13 @@
 // Cancels the request through to the upstream, because no caller waits for it.
 // A non-idempotent request that may already run is finished instead, so that
 // the caller can retrieve its answer by the status call.
-void Entry::OnCallerGone(TimeUs now, CallerHandle handle) {
+void Entry::OnCallerDisconnected(TimeUs now, CallerHandle handle) {
   const auto it = impl_->by_handle.find(handle);
   if (it == impl_->by_handle.end()) {
     return;
   }
   EntryRequest& request = *impl_->requests[it->second];
-  request.caller_gone = true;
+  request.caller_disconnected = true;
   const bool running = request.attempt || request.may_have_run;
   if (request.call.idempotent || !running) {
     impl_->GiveUp(now, request, Refusal::kCancelled);
@@ -423,7 +423,7 @@
   replica->incarnation = incarnation;
   replica->state = heartbeat.state;
   replica->load = heartbeat.load;
-  replica->heard_at = now;
+  replica->last_report_at = now;
   impl_->quarantine.Merge(now, heartbeat.quarantined);
   impl_->load.OnReport(replica);
 }
--- a/src/coordination/tables/store_requests.h
+++ b/src/coordination/tables/store_requests.h
@@ -2,10 +2,10 @@
 //
 // A store may answer every request late, or a request may be lost with its
 // connection. A host that accepts the answer to one request only would then
-// either give up on a slow store, whose answers it would never use, or ask
-// again only after the time limit of the lost request. So a request is no
-// longer awaited after `FreshnessPlan::store_timeout`, or when a newer one
-// replaces it, but its answer is accepted until `kAnswerAcceptTimeout`.
+// either abandon the requests to a slow store, whose answers it would never
+// use, or ask again only after the time limit of the lost request. So a request
+// is no longer awaited after `FreshnessPlan::store_timeout`, or when a newer
+// one replaces it, but its answer is accepted until `kAnswerAcceptTimeout`.
 #ifndef ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
 #define ACACIACHUTE_SRC_COORDINATION_TABLES_STORE_REQUESTS_H_
 
@@ -41,13 +41,15 @@
   virtual ~StoreReader() = default;
   // Sends the request. Exactly one answer follows, with the same table and id,
   // also after a time-out.
-  virtual void Ask(const StoreRequest& request) = 0;
+  virtual void SendRequest(const StoreRequest& request) = 0;
   // Cancels the request: no answer follows.
-  virtual void Forget(const std::string& table, std::uint64_t id) = 0;
+  virtual void CancelRequest(const std::string& table, std::uint64_t id) = 0;
 };
 
 class StoreRequests {
  public:
+  // Time limit for the store's answer, counted from the end of the time for
+  // which the store was asked to hold the request.
   static constexpr DurationUs kAnswerAcceptTimeout = 3 * kSecond;
   // Largest number of requests in flight. Beyond it the oldest, which a slow
   // store answers first, and the newest are kept.
@@ -63,7 +65,7 @@
   StoreRequests(std::string table, StoreReader* store);
 
   // Sends a request, which replaces the awaited one if there is one.
-  void Ask(TimeUs now, TableQuery query);
+  void SendRequest(TimeUs now, TableQuery query);
   // Removes and returns the request with this id; empty if it was cancelled.
   std::optional<Sent> Take(std::uint64_t id);
   // The awaited request; null if there is none.
--- a/src/coordination/tables/table_relay.cc
+++ b/src/coordination/tables/table_relay.cc
@@ -39,7 +39,7 @@
 
 void TableRelay::OnRow(const TableRow& row) {
   if (const auto it = rows_.find(row.key); it != rows_.end()) {
-    bytes_ -= it->second.value.size();
+    table_bytes_ -= it->second.value.size();
     rows_by_version_.erase({it->second.version, row.key});
     rows_.erase(it);
   }
@@ -48,7 +48,7 @@
     removed_.erase(it);
   }
   if (!row.removed) {
-    bytes_ += row.value.size();
+    table_bytes_ += row.value.size();
     rows_by_version_.emplace(row.version, row.key);
     rows_[row.key] = row;
     return;
@@ -117,17 +117,16 @@
 TableAnswer TableRelay::ChangesSince(const HeldRequest& held) const {
   const TableRequest& request = held.request;
   TableAnswer answer;
-  if (!known_ || (request.whole && bytes_ > kMaxTableBytes)) {
-    answer.why =
-        "the relay has no copy of the table, or it exceeds one message";
+  if (!known_ || (request.whole && table_bytes_ > kMaxTableBytes)) {
+    answer.why = "the table is not held here";
     return answer;
   }
   if (request.whole && version_ < request.after) {
-    answer.why = "the relay has an older table than the requester";
+    answer.why = "an older table than the asker's";
     return answer;
   }
   if (!request.whole && request.after < history_from_) {
-    answer.kind = TableAnswer::Kind::kHistoryGone;
+    answer.kind = TableAnswer::Kind::kHistoryTruncated;
     return answer;
   }
   answer.kind = TableAnswer::Kind::kRows;
@@ -165,7 +164,7 @@
   answer.known_after.reset();
   answer.kind =
       store_lost_ ? TableAnswer::Kind::kStoreLost : TableAnswer::Kind::kRows;
-  answer.why = store_lost_ ? "the store does not answer the relay" : "";
+  answer.why = store_lost_ ? "the store does not answer there" : "";
   return answer;
 }
 
--- a/src/transport/http_listener.cc
+++ b/src/transport/http_listener.cc
@@ -22,6 +22,7 @@
 constexpr std::size_t kMaxPipelinedBytes = 64 << 10;
 // How often the time limits are checked; the limits are seconds long.
 constexpr DurationUs kSweepPeriod = 250 * kMillisecond;
+// Maximum number of connections waiting to be accepted; see http_server.cc.
 constexpr int kListenBacklog = 1024;
 
 bool HasNoBody(int status) {
@@ -165,9 +166,9 @@
     if (id_ != 0) {
       return false;
     }
-    if (reading_since_ != 0 && now - reading_since_ > owner_->limits.head) {
-      Refuse(408,
-             "the request was not completely received within the time limit");
+    if (reading_since_ != 0 &&
+        now - reading_since_ > owner_->limits.request_time) {
+      Refuse(408, "the request was not sent in time");
       return false;
     }
     return reading_since_ == 0 && now - idle_since_ > owner_->limits.idle;
@@ -201,7 +202,7 @@
 
   void OnPartOfBody() {
     if (owner_->buffered > owner_->limits.buffered_bytes) {
-      Refuse(503, "the buffer for request bodies is full");
+      Refuse(503, "too many bytes of requests are held");
       return;
     }
     if (reader_.head().expects_continue && !continued_) {
--- a/src/transport/http_listener.h
+++ b/src/transport/http_listener.h
@@ -26,7 +26,7 @@
 struct ListenerLimits {
   HttpReadLimits read;
   // Time in which a request must arrive, from its first byte to its last.
-  DurationUs head = 3 * kSecond;
+  DurationUs request_time = 3 * kSecond;
   // Time for which a connection may be idle between requests.
   DurationUs idle = 15 * kSecond;
   std::size_t connections = 2000;
@@ -48,10 +48,11 @@
   virtual void OnRequest(ExchangeId id,
                          HttpRequestHead head,
                          std::string body) = 0;
+  // The client closed its connection before its answer was complete.
   virtual void OnGone(ExchangeId id) = 0;
   // Everything written for `id` has been passed to the kernel.
   virtual void OnWritten(ExchangeId id) = 0;
-  // The listener refused a request or a connection by itself.
+  // The listener refused a request or a connection without passing it on.
   virtual void OnListenerEvent(const ListenerEvent& event) = 0;
 };
 
--- a/src/transport/log_writer.h
+++ b/src/transport/log_writer.h
@@ -1,4 +1,4 @@
-// Writes structured log lines, one JSON object each, to standard output.
+// Writes structured log lines, one JSON object each, to a file descriptor.
 //
 // If the reader of the log stalls, or a burst of refusals writes more than it
 // can read, a blocking write would stop the process. So the descriptor is
@@ -32,7 +32,7 @@
   // replicas these were six lines in ten, and hosts with a tenth of a core
   // spent CPU time on them when they were busiest. Lines above the limit are
   // counted as dropped; the log of some other host has them.
-  static constexpr std::uint32_t kMaxFleetLinesPerSecond = 30;
+  static constexpr std::uint32_t kMaxPeerEventLinesPerSecond = 30;
   static constexpr DurationUs kFlushPeriod = 50 * kMillisecond;
 
   // Writes to `descriptor`, which it makes non-blocking.
--- a/tests/gateway/transport_test.cc
+++ b/tests/gateway/transport_test.cc
@@ -284,7 +284,7 @@
   EXPECT_EQ(sink.failure->kind, CallFailureKind::kTimeout);
 }
 
-// A replica that answers before it has read the whole request continues to
+// A replica that answers before it has read the complete request continues to
 // read; it must read the remainder of that request, not the next one.
 TEST(HttpChannelsTest, SendsTheRestOfABodyAfterAnEarlyAnswer) {
   Loop loop;
@@ -320,7 +320,7 @@
 // closes another socket whose event is already pending, and a new socket gets
 // the same descriptor number. The pending event must not be delivered to the
 // new socket.
-TEST(SocketPollerTest, TellsNoEventOfAClosedSocketToTheNextOne) {
+TEST(SocketPollerTest, DeliversNoEventOfAClosedSocketToANewSocket) {
   struct Watcher : SocketWatcher {
     void OnReadable() override { on_readable(); }
     void OnWritable() override {}
@@ -507,7 +507,7 @@
 // and its connection is closed.
 TEST(HttpListenerTest, EndsAStalledHead) {
   ListenerLimits limits;
-  limits.head = 100 * kMs;
+  limits.request_time = 100 * kMs;
   ListenerRig rig(limits);
   rig.Connect();
   rig.client->Write("GET /a HTT");
@@ -539,8 +539,8 @@
   EXPECT_TRUE(Contains(rig.received, "ok"));
 }
 
-// If nobody reads the log, writing does not block; dropped lines are counted
-// and reported once the buffer has space again.
+// If the log is not read, writing does not block; dropped lines are counted and
+// reported once the buffer has space again.
 TEST(LogWriterTest, NeverBlocksAndTellsWhatItDropped) {
   Loop loop;
   std::array<int, 2> ends{};
@@ -580,8 +580,8 @@
     log.Write("request", {{"id", n}});
   }
   // The lines may fall into two seconds, each with its own limit.
-  EXPECT_GE(log.dropped(), 100U - 2 * LogWriter::kMaxFleetLinesPerSecond);
-  EXPECT_LE(log.dropped(), 100U - LogWriter::kMaxFleetLinesPerSecond);
+  EXPECT_GE(log.dropped(), 100U - 2 * LogWriter::kMaxPeerEventLinesPerSecond);
+  EXPECT_LE(log.dropped(), 100U - LogWriter::kMaxPeerEventLinesPerSecond);
   log.Flush();
   close(ends[0]);
 }
