--- a/bench/decisions.cc
+++ b/bench/decisions.cc
@@ -81,7 +81,7 @@
   NodeId node;
   int stage = 0;
   int domain = 0;
-  double slow = 1;
+  double slowdown = 1;
   bool failing = false;
   bool dead = false;
   std::vector<Call> running;
@@ -321,7 +321,7 @@
   double slots = 0;
   for (const Engine& it : engines_) {
     if (it.stage + 1 == kStages && !it.dead && !it.failing) {
-      slots += kMaxBatchCalls / it.slow;
+      slots += kMaxBatchCalls / it.slowdown;
     }
   }
   return slots / (kServiceTimes.back() * BatchFactor(kMaxBatchCalls)) * kSecond;
@@ -329,8 +329,8 @@
 
 // Advances the capacity bound, a fluid model: generation runs at full batch
 // whenever there is work, and only the backlog that can still be answered in
-// time is kept. No real policy can reach the bound, because it cannot know
-// which requests will still be in time.
+// time is kept. No policy can reach the bound, because it cannot know which
+// requests will still be in time.
 void World::AdvanceBound() {
   constexpr DurationUs kStep = 100 * kMillisecond;
   const double capacity = Capacity();
@@ -340,8 +340,9 @@
   offered_work_ = 0;
   const double done = std::min(bound_backlog_, capacity * kStep / kSecond);
   bound_backlog_ -= done;
-  bound_work_ += now_ >= kWarm ? done : 0;
-  change_bound_work_ += now_ > kSettled && now_ <= kChangeEnd ? done : 0;
+  bound_work_ += now_ >= kWarmUpEnd ? done : 0;
+  change_bound_work_ +=
+      now_ > kChangeMeasureStart && now_ <= kChangeEnd ? done : 0;
   if (now_ < end_) {
     After(kStep, [this] { AdvanceBound(); });
   }
@@ -353,7 +354,7 @@
                       kSecond;
   const double mean_size =
       changed_ ? 1 + pattern_.long_jobs * (kLongFactor - 1) : 1;
-  const double hot = changed_ ? pattern_.hot : 1;
+  const double hot = changed_ ? pattern_.hot_account_factor : 1;
   const double base =
       full * (changed_ ? pattern_.load : Pattern().load) / mean_size;
   const double rate = base * (1 + kOfferedShares[kHotAccount] * (hot - 1));
@@ -423,16 +424,16 @@
   submission.done = in_time;
   result_.twice += submission.ended;
   submission.ended = true;
-  if (submission.sent < kWarm || submission.sent >= end_) {
+  if (submission.sent < kWarmUpEnd || submission.sent >= end_) {
     return;
   }
   if (in_time) {
     work_in_time_ += submission.size;
     change_work_in_time_ +=
-        now_ > kSettled && now_ <= kChangeEnd ? submission.size : 0;
+        now_ > kChangeMeasureStart && now_ <= kChangeEnd ? submission.size : 0;
     auto& last = last_answer_[submission.account];
-    result_.longest_gap =
-        std::max(result_.longest_gap, now_ - std::max<TimeUs>(kWarm, last));
+    result_.longest_gap = std::max(result_.longest_gap,
+                                   now_ - std::max<TimeUs>(kWarmUpEnd, last));
     last = now_;
   }
   if (answered && submission.caller_class == CallerClass::kUrgent) {
@@ -468,7 +469,7 @@
   After(deployment_.one_way, [this, entry, n, message] {
     if (!engines_[n].dead) {
       sidecars_[n]->OnMessage(now_, StrCat("entry-", entry), message);
-    } else if (policy_ == Policy::kReal) {
+    } else if (policy_ == Policy::kProduction) {
       entries_[entry]->OnUnsent(now_, engines_[n].node, message);
     } else {
       naive_entries_[entry]->OnUnsent(now_, engines_[n].node, message);
@@ -479,7 +480,7 @@
 void World::SidecarSends(int from, const NodeId& to, const Message& message) {
   const int entry = to.back() - '0';
   After(deployment_.one_way, [this, from, entry, message] {
-    if (policy_ == Policy::kReal) {
+    if (policy_ == Policy::kProduction) {
       entries_[entry]->OnMessage(now_, engines_[from].node, message);
     } else {
       naive_entries_[entry]->OnMessage(now_, engines_[from].node, message);
@@ -516,7 +517,7 @@
     }
     engine.running.push_back(std::move(call));
     const double factor =
-        size * engine.slow * BatchFactor(engine.running.size());
+        size * engine.slowdown * BatchFactor(engine.running.size());
     After(static_cast<DurationUs>(kServiceTimes[engine.stage] * factor),
           [this, n, id] { EndCall(n, id, true); });
   }
@@ -622,7 +623,9 @@
       continue;
     }
     const bool first = model++ == 0;
-    engine.slow = on ? pattern_.all_slow * (first ? pattern_.slow : 1) : 1;
+    engine.slowdown = on ? pattern_.all_replicas_slowdown *
+                               (first ? pattern_.one_replica_slowdown : 1)
+                         : 1;
     engine.failing = on && first && pattern_.failing;
     if (!pattern_.domain_lost || engine.domain != 1) {
       continue;
@@ -631,7 +634,7 @@
     engine.running.clear();
     engine.waiting.clear();
     for (int it = 0; on && it < kEntries; ++it) {
-      if (policy_ == Policy::kReal) {
+      if (policy_ == Policy::kProduction) {
         entries_[it]->OnPeerLost(now_, engine.node);
       } else {
         naive_entries_[it]->OnPeerLost(now_, engine.node);
@@ -658,7 +661,7 @@
     refused_cost += it.done ? 0 : it.cost;
     answered += it.done;
     result_.unanswered += !it.ended;
-    if (it.first_sent < kWarm || it.first_sent >= end_) {
+    if (it.first_sent < kWarmUpEnd || it.first_sent >= end_) {
       continue;
     }
     // A caller that resent is counted once in `sent`, and in `in_time` if any
@@ -669,7 +672,7 @@
     };
     add(&result_.by_class[static_cast<std::size_t>(it.caller_class)]);
     add(&result_.by_account[it.account]);
-    if (it.first_sent >= kRecovered) {
+    if (it.first_sent >= kAfterMeasureStart) {
       add(&result_.after);
     }
   }
@@ -683,7 +686,7 @@
       refused_cost / std::max<std::size_t>(1, submissions_.size() - answered);
   result_.retries = static_cast<double>(retries_) / submissions_.size();
   result_.bound_share = work_in_time_ / bound_work_;
-  result_.full_share =
+  result_.bound_share_during_change =
       change_bound_work_ > 0 ? change_work_in_time_ / change_bound_work_ : 1;
   result_.urgent_waits = {Quantile(&urgent_waits_, 0.5),
                           Quantile(&urgent_waits_, 0.99),
@@ -740,7 +743,7 @@
       sum.cost[k] += it.cost[k] / n;
     }
     sum.bound_share += it.bound_share / n;
-    sum.full_share += it.full_share / n;
+    sum.bound_share_during_change += it.bound_share_during_change / n;
     sum.refused += it.refused;
     sum.late += it.late;
     sum.refusal_p99 = std::max(sum.refusal_p99, it.refusal_p99);
@@ -763,14 +766,14 @@
       {.name = "overload 1.3x", .load = 1.3},
       {.name = "overload 2x", .load = 2},
       {.name = "2x with resends", .load = 2, .resends = true},
-      {.name = "hot caller 10x", .hot = 10},
-      {.name = "one slow 4x", .slow = 4},
+      {.name = "hot caller 10x", .hot_account_factor = 10},
+      {.name = "one slow 4x", .one_replica_slowdown = 4},
       {.name = "one failing", .failing = true},
       {.name = "long among short", .load = 0.9, .long_jobs = 0.05},
-      {.name = "generation 2x slow", .all_slow = 2},
+      {.name = "generation 2x slow", .all_replicas_slowdown = 2},
       {.name = "reports 2 s late", .load = 1.3, .report_lag = 2 * kSecond},
       {.name = "domain lost at peak", .load = 0.9, .domain_lost = true},
-      {.name = "slow and 2x", .load = 2, .slow = 4},
+      {.name = "slow and 2x", .load = 2, .one_replica_slowdown = 4},
   };
   return *kAll;
 }
--- a/bench/decisions.h
+++ b/bench/decisions.h
@@ -32,24 +32,26 @@
 }};
 
 // Times within a run. The change of a pattern lasts from `kChangeStart` to
-// `kChangeEnd`. Requests sent before `kWarm` are not counted, `kSettled` starts
-// the measurement under the change, `kRecovered` the one after it, and no
-// requests are sent from `kEnd` on.
-inline constexpr TimeUs kWarm = 4 * kSecond;
+// `kChangeEnd`. Requests sent before `kWarmUpEnd` are not counted,
+// `kChangeMeasureStart` starts the measurement under the change,
+// `kAfterMeasureStart` the one after it, and no requests are sent from `kEnd`
+// on.
+inline constexpr TimeUs kWarmUpEnd = 4 * kSecond;
 inline constexpr TimeUs kChangeStart = 10 * kSecond;
-inline constexpr TimeUs kSettled = kChangeStart + 2 * kSecond;
+inline constexpr TimeUs kChangeMeasureStart = kChangeStart + 2 * kSecond;
 inline constexpr TimeUs kChangeEnd = 30 * kSecond;
-inline constexpr TimeUs kRecovered = kChangeEnd + 5 * kSecond;
+inline constexpr TimeUs kAfterMeasureStart = kChangeEnd + 5 * kSecond;
 inline constexpr TimeUs kEnd = 42 * kSecond;
 
 // A load pattern; its fields describe the change.
 struct Pattern {
   std::string_view name;
-  double load = 0.7;          // Offered load / capacity of generation.
-  double hot = 1;             // Factor on one account's request rate.
-  double slow = 1;            // Factor on one model replica's service time.
-  double all_slow = 1;        // Same factor of all model replicas.
-  bool failing = false;       // One model replica fails every call.
+  double load = 0.7;              // Offered load / capacity of generation.
+  double hot_account_factor = 1;  // Factor on one account's request rate.
+  // Factor on one model replica's service time.
+  double one_replica_slowdown = 1;
+  double all_replicas_slowdown = 1;  // Same factor of all model replicas.
+  bool failing = false;              // One model replica fails every call.
   double long_jobs = 0;       // Share of requests of five times the work.
   DurationUs report_lag = 0;  // Extra delay of heartbeats and load reports.
   bool domain_lost = false;   // All replicas of a failure domain are down.
@@ -57,7 +59,7 @@
 };
 const std::vector<Pattern>& Patterns();
 
-enum class Policy { kNaive, kReal };
+enum class Policy { kNaive, kProduction };
 
 // Number of requests sent and of those answered in time.
 struct Tally {
@@ -72,10 +74,10 @@
 struct Result {
   std::array<Tally, 2> by_class;
   std::array<Tally, kAccounts> by_account;
-  Tally after;             // Requests sent after `kRecovered`.
+  Tally after;             // Requests sent after `kAfterMeasureStart`.
   double bound_share = 0;  // Work answered in time / capacity bound.
-  // The same for the time from `kSettled` to `kChangeEnd`.
-  double full_share = 0;
+  // The same for the time from `kChangeMeasureStart` to `kChangeEnd`.
+  double bound_share_during_change = 0;
   // Answer times of urgent requests: 50th, 99th and 99.9th percentile.
   std::array<DurationUs, 3> urgent_waits{};
   std::uint64_t refused = 0;
--- a/bench/decisions_main.cc
+++ b/bench/decisions_main.cc
@@ -45,11 +45,12 @@
   std::printf(
       "%-20s %-5s | %6.2f %6.2f %6.2f %6.2f %6.2f %6.2f | %5.2f %5.2f %5.2f | "
       "%6llu %5llu %6.3f %6.2f | %5.3f %6.3f %4llu | %5.3f %6.3f %6.3f |",
-      std::string(name).c_str(), policy == Policy::kReal ? "" : "naive",
+      std::string(name).c_str(), policy == Policy::kProduction ? "" : "naive",
       100 * it.by_class[0].Share(), 100 * it.by_class[1].Share(), 100 * worst,
-      100 * it.bound_share, 100 * it.full_share, 100 * it.after.Share(),
-      it.urgent_waits[0] * 1e-6, it.urgent_waits[1] * 1e-6,
-      it.urgent_waits[2] * 1e-6, static_cast<unsigned long long>(it.refused),
+      100 * it.bound_share, 100 * it.bound_share_during_change,
+      100 * it.after.Share(), it.urgent_waits[0] * 1e-6,
+      it.urgent_waits[1] * 1e-6, it.urgent_waits[2] * 1e-6,
+      static_cast<unsigned long long>(it.refused),
       static_cast<unsigned long long>(it.late), it.refusal_p99 * 1e-6,
       it.longest_gap * 1e-6, it.wasted, it.retries,
       static_cast<unsigned long long>(it.doubled),
@@ -80,9 +81,10 @@
       if (pattern.name.find(only) == std::string_view::npos) {
         continue;
       }
-      const Result real = RunAll(deployment, pattern, Policy::kReal, seeds);
+      const Result real =
+          RunAll(deployment, pattern, Policy::kProduction, seeds);
       signature = (signature ^ real.signature) * 0x9E3779B97F4A7C15ULL;
-      PrintRow(pattern.name, Policy::kReal, real);
+      PrintRow(pattern.name, Policy::kProduction, real);
       if (naive) {
         PrintRow("", Policy::kNaive,
                  RunAll(deployment, pattern, Policy::kNaive, seeds));
--- a/src/coordination/admission/admission.cc
+++ b/src/coordination/admission/admission.cc
@@ -30,7 +30,7 @@
       kContendedShare[static_cast<std::size_t>(arrival.caller_class)] *
       static_cast<double>(usable_time));
   if (longest_wait > contended_wait &&
-      !most_loaded->shares.HasCredit(arrival.account, arrival.weight)) {
+      !most_loaded->fair_share.HasCredit(arrival.account, arrival.weight)) {
     return {Refusal::kOverShare, most_loaded, longest_wait - contended_wait};
   }
   return {};
--- a/src/coordination/admission/admission.h
+++ b/src/coordination/admission/admission.h
@@ -25,7 +25,7 @@
 // State that one entry keeps for a pool.
 struct PoolState {
   PoolLoad load;
-  FairShare shares;
+  FairShare fair_share;
   // Replicas of the pool that this entry uses; see subset.h.
   std::vector<Replica*> subset;
 };
--- a/src/coordination/admission/fair_share.h
+++ b/src/coordination/admission/fair_share.h
@@ -35,7 +35,8 @@
   // account's answers.
   static constexpr double kMaxDebt = 16;
 
-  // While the pool is not full, credits only record which accounts sent
+  // Balance below which requests do not take an account while the pool is not
+  // full. While it is not full, credits only record which accounts sent
   // requests recently. An account must not be in debt because of these requests
   // when the pool becomes full, because small accounts would then be refused by
   // chance.
--- a/src/coordination/admission/load_control.cc
+++ b/src/coordination/admission/load_control.cc
@@ -114,7 +114,7 @@
   for (const StageEstimate& it : *pipeline) {
     it.pool->load.AddPending(caller_class, 1);
     const bool full = it.pool->load.Wait(CallerClass::kPatient) > 0;
-    it.pool->shares.Spend(arrival.account, arrival.weight, full);
+    it.pool->fair_share.Spend(arrival.account, arrival.weight, full);
   }
   return {};
 }
@@ -207,7 +207,7 @@
                          : estimate.service + (service - estimate.service) /
                                                   kServiceAverageDivisor;
   estimate.pool->load.OnAnswer(load->caller_class);
-  estimate.pool->shares.OnAnswer();
+  estimate.pool->fair_share.OnAnswer();
   LeaveStage(load);
 }
 
--- a/src/coordination/admission/load_control.h
+++ b/src/coordination/admission/load_control.h
@@ -88,7 +88,7 @@
   // Whether one more attempt may be made. An attempt that was never sent needs
   // no retry token.
   bool TakeRetry(AttemptEnd end) {
-    return end == AttemptEnd::kUnsent || retry_budget_.Take();
+    return end == AttemptEnd::kUnsent || retry_budget_.TryUseRetry();
   }
 
  private:
--- a/src/coordination/admission/retry_budget.h
+++ b/src/coordination/admission/retry_budget.h
@@ -2,8 +2,8 @@
 //
 // When an upstream fails or a pool is full, each request is retried at another
 // replica. Without a limit, these retries multiply the load that caused the
-// failures. With a tenth, retries raise the load only slightly, while single
-// failures are still all retried.
+// failures. With one retry per ten first attempts, retries raise the load by a
+// tenth at most in the long run, while single failures are still all retried.
 #ifndef ACACIACHUTE_SRC_COORDINATION_ADMISSION_RETRY_BUDGET_H_
 #define ACACIACHUTE_SRC_COORDINATION_ADMISSION_RETRY_BUDGET_H_
 
@@ -15,14 +15,14 @@
  public:
   // Retry tokens earned per first attempt.
   static constexpr double kTokensPerFirstAttempt = 0.1;
-  // Limit on the stored tokens; lets an entry with little traffic still retry a
-  // handful of requests at once.
-  static constexpr double kMaxTokens = 20;
+  // Limit on the stored tokens, one per retry; an entry with little traffic can
+  // still send 20 retries at once.
+  static constexpr double kMaxRetryTokens = 20;
 
   void OnFirstAttempt() {
-    tokens_ = std::min(kMaxTokens, tokens_ + kTokensPerFirstAttempt);
+    tokens_ = std::min(kMaxRetryTokens, tokens_ + kTokensPerFirstAttempt);
   }
-  bool Take() {
+  bool TryUseRetry() {
     if (tokens_ < 1) {
       return false;
     }
@@ -31,7 +31,7 @@
   }
 
  private:
-  double tokens_ = kMaxTokens;
+  double tokens_ = kMaxRetryTokens;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/choice/cold_replica_limiter.cc
+++ b/src/coordination/choice/cold_replica_limiter.cc
@@ -7,8 +7,8 @@
 
 namespace acaciachute {
 
-void ColdReplicaLimiter::SetBound(const ColdRateBound& bound,
-                                  DurationUs replica_heartbeat_period) {
+void ColdReplicaLimiter::SetRateLimit(const ColdRateBound& bound,
+                                      DurationUs replica_heartbeat_period) {
   bound_ = bound;
   replica_heartbeat_period_ = replica_heartbeat_period;
 }
@@ -17,8 +17,9 @@
   services_.clear();
   for (const auto& [name, service] : config.services()) {
     if (service.cold_rate > 0) {
-      const double bound = service.cold_rate * bound_.factor + bound_.slack;
-      services_[name] = {bound, service.cold_start};
+      const double max_requests =
+          service.cold_rate * bound_.factor + bound_.slack;
+      services_[name] = {max_requests, service.cold_start};
     }
   }
 }
@@ -44,13 +45,13 @@
   if (replica.evacuation_ended_at > 0) {
     until =
         std::max(until, replica.evacuation_ended_at + limits.cold_start +
-                            kStaleRowHeartbeats * replica_heartbeat_period_);
+                            kRowDelayHeartbeats * replica_heartbeat_period_);
   }
   return until;
 }
 
-bool ColdReplicaLimiter::IsBounded(TimeUs now,
-                                   const ReplicaEntry& replica) const {
+bool ColdReplicaLimiter::IsRateLimited(TimeUs now,
+                                       const ReplicaEntry& replica) const {
   if (replica.cold_until == 0 && replica.evacuation_ended_at == 0) {
     return false;  // Fast path: called for every replica.
   }
@@ -60,13 +61,13 @@
 }
 
 bool ColdReplicaLimiter::MaySend(TimeUs now, const ReplicaEntry& replica) {
-  if (!IsBounded(now, replica)) {
+  if (!IsRateLimited(now, replica)) {
     return true;
   }
   const Limits& limits = *LimitsOf(replica);
   RecentRequests& recent_requests = recent_requests_[replica.id];
   recent_requests.DropExpired(now);
-  double total = kUsableShare * limits.bound;
+  double total = kUsableShare * limits.max_requests;
   for (TimeUs doubling_at = ColdUntil(replica, limits); doubling_at <= now;
        doubling_at += kLimitDoublingPeriod) {
     total *= 2;
--- a/src/coordination/choice/cold_replica_limiter.h
+++ b/src/coordination/choice/cold_replica_limiter.h
@@ -51,12 +51,12 @@
   // Number of heartbeat periods of a replica until its row in the store shows
   // that it is cold: the row may just have been rewritten (one heartbeat), and
   // the next version needs time to arrive here (one more).
-  static constexpr DurationUs kStaleRowHeartbeats = 2;
+  static constexpr DurationUs kRowDelayHeartbeats = 2;
 
   explicit ColdReplicaLimiter(NodeId self) : self_(std::move(self)) {}
 
-  void SetBound(const ColdRateBound& bound,
-                DurationUs replica_heartbeat_period);
+  void SetRateLimit(const ColdRateBound& bound,
+                    DurationUs replica_heartbeat_period);
   void SetServices(const ServingConfig& config);
   // All gateways that may send requests, including this one. Empty if this
   // gateway does not know the others well enough to send any to cold replicas.
@@ -64,7 +64,7 @@
 
   // Whether the rate of the replica is limited now, because it is cold, as far
   // as known here, or still warming up.
-  bool IsBounded(TimeUs now, const ReplicaEntry& replica) const;
+  bool IsRateLimited(TimeUs now, const ReplicaEntry& replica) const;
   // Whether one more request may be sent to the replica now.
   bool MaySend(TimeUs now, const ReplicaEntry& replica);
 
@@ -83,7 +83,7 @@
  private:
   struct Limits {
     // Maximum number of requests per `kArrivalWindow`, over all gateways.
-    double bound = 0;
+    double max_requests = 0;
     // Time that a replica stays cold after its start.
     DurationUs cold_start = 0;
   };
--- a/src/coordination/control/lease.h
+++ b/src/coordination/control/lease.h
@@ -64,6 +64,8 @@
   static constexpr std::size_t kActiveCandidates = 3;
   static constexpr DurationUs kWatchPeriod = 2 * kSecond;
   static constexpr DurationUs kStandbyWatchPeriod = 30 * kSecond;
+  // Delay before a write without a result is sent again, and minimum delay
+  // after a read before a takeover.
   static constexpr DurationUs kRetryDelay = 300 * kMillisecond;
   // Additional delay before a takeover, per rank.
   static constexpr DurationUs kRankDelay = 500 * kMillisecond;
--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -21,9 +21,10 @@
       random(random_in),
       metrics(metrics_in),
       log(log_in),
-      cold(options.node),
-      engines(directory_in, &cold, random_in) {
-  cold.SetBound(options.cold, options.replica_heartbeat_period);
+      cold_replica_limiter(options.node),
+      engines(directory_in, &cold_replica_limiter, random_in) {
+  cold_replica_limiter.SetRateLimit(options.cold,
+                                    options.replica_heartbeat_period);
 }
 
 ServingRequest* Gateway::Impl::FindByExchange(ExchangeId id) {
@@ -39,7 +40,8 @@
 PlainChoice& Gateway::Impl::PlainChoiceOf(const std::string& service) {
   auto& choice = plain_choices[service];
   if (choice == nullptr) {
-    choice = std::make_unique<PlainChoice>(directory, &cold, random);
+    choice =
+        std::make_unique<PlainChoice>(directory, &cold_replica_limiter, random);
   }
   return *choice;
 }
@@ -146,8 +148,9 @@
   if (request->parked) {
     parked.erase({request->priority, request->received_at, request->id});
   }
-  if (request->awaits_cold) {
-    awaiting_cold.erase({request->priority, request->received_at, request->id});
+  if (request->awaits_cold_replica) {
+    awaiting_cold_replica.erase(
+        {request->priority, request->received_at, request->id});
   }
   const auto it = by_request_id.find(request->call.id);
   if (it != by_request_id.end() && it->second == request) {
@@ -190,9 +193,10 @@
 
 void Gateway::SetOptions(const GatewayOptions& options) {
   impl_->options = options;
-  impl_->cold.SetBound(options.cold, options.replica_heartbeat_period);
+  impl_->cold_replica_limiter.SetRateLimit(options.cold,
+                                           options.replica_heartbeat_period);
   if (impl_->config != nullptr) {
-    impl_->cold.SetServices(*impl_->config);
+    impl_->cold_replica_limiter.SetServices(*impl_->config);
   }
   for (auto& [service, budget] : impl_->budgets) {
     budget.SetLimits(options.budget);
@@ -210,7 +214,7 @@
                                {"routes", config->routes()},
                                {"services", config->services().size()}});
   impl_->config = std::move(config);
-  impl_->cold.SetServices(*impl_->config);
+  impl_->cold_replica_limiter.SetServices(*impl_->config);
 }
 
 void Gateway::OnConfirmed(TimeUs asked_at) {
@@ -222,7 +226,7 @@
   if (!restarted && change != DirectoryChange::kRemoved) {
     return;
   }
-  impl_->cold.OnReplicaRemoved(replica.id);
+  impl_->cold_replica_limiter.OnReplicaRemoved(replica.id);
   impl_->engines.OnReplicaRemoved(replica.id);
   for (auto& [service, choice] : impl_->plain_choices) {
     choice->OnReplicaRemoved(replica.id);
@@ -365,7 +369,7 @@
 }
 
 void Gateway::SetKnownGateways(std::vector<NodeId> gateways) {
-  impl_->cold.SetGateways(std::move(gateways));
+  impl_->cold_replica_limiter.SetGateways(std::move(gateways));
 }
 
 void Gateway::SetPeerCanCheckKeys(bool can_check_keys) {
--- a/src/coordination/gateway/gateway_admission.cc
+++ b/src/coordination/gateway/gateway_admission.cc
@@ -227,9 +227,10 @@
   // Stochastic estimate of the 90th percentile: converges to the value that a
   // tenth of the deadlines exceed.
   constexpr double kPercentileStep = 0.02;
-  constexpr double kShareAbove = 0.1;
-  p90_us += kPercentileStep * p90_us *
-            (deadline > p90_us ? 1 - kShareAbove : -kShareAbove);
+  constexpr double kShareAboveEstimate = 0.1;
+  p90_us +=
+      kPercentileStep * p90_us *
+      (deadline > p90_us ? 1 - kShareAboveEstimate : -kShareAboveEstimate);
   return deadline < kRetryDeadlineShare * p90_us
              ? static_cast<DurationUs>(p90_us - deadline)
              : 0;
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -61,7 +61,7 @@
   } else {
     PlainChoiceOf(request->service).OnSent(now, replica.id);
   }
-  cold.OnSent(replica);
+  cold_replica_limiter.OnSent(replica);
   request->tried.push_back(replica.id);
   request->attempt = {};
   request->attempt.replica = replica;
@@ -82,7 +82,7 @@
   const auto& replicas = directory->Of(request.service);
   return std::any_of(
       replicas.begin(), replicas.end(), [&](const ReplicaEntry* it) {
-        return cold.IsBounded(now, *it) &&
+        return cold_replica_limiter.IsRateLimited(now, *it) &&
                std::find(request.tried.begin(), request.tried.end(), it->id) ==
                    request.tried.end();
       });
@@ -93,21 +93,22 @@
 // same time; instead they wait here in order until a replica accepts the next
 // one.
 void Gateway::Impl::AwaitColdReplica(ServingRequest* request) {
-  if (request->awaits_cold) {
+  if (request->awaits_cold_replica) {
     return;
   }
-  request->awaits_cold = true;
-  awaiting_cold.emplace(request->priority, request->received_at, request->id);
+  request->awaits_cold_replica = true;
+  awaiting_cold_replica.emplace(request->priority, request->received_at,
+                                request->id);
   log->Write("awaits_cold", {{"id", request->call.id},
                              {"service", request->service},
-                             {"waiting", awaiting_cold.size()}});
+                             {"waiting", awaiting_cold_replica.size()}});
   SetExpiry(request, std::min(request->first_response_by,
                               output->Now() + kMaxColdReplicaWait));
 }
 
 void Gateway::Impl::RetryAwaitingCold() {
   // A copy, because sending may end requests.
-  const auto waiting = awaiting_cold;
+  const auto waiting = awaiting_cold_replica;
   // Services whose replicas accept no more requests.
   std::set<std::string> full;
   for (const auto& [priority, received_at, id] : waiting) {
@@ -120,8 +121,8 @@
       full.insert(request->service);
       continue;
     }
-    awaiting_cold.erase({priority, received_at, id});
-    request->awaits_cold = false;
+    awaiting_cold_replica.erase({priority, received_at, id});
+    request->awaits_cold_replica = false;
     SetExpiry(request, request->stream_begun ? request->deadline_at
                                              : request->first_response_by);
     SendTo(request, *replica);
@@ -238,7 +239,7 @@
     return;
   }
   if (failed && MayRetry(*request) &&
-      ServiceBudget(request->service).Take(now)) {
+      ServiceBudget(request->service).TryUseRetries(now)) {
     metrics->Count("acaciachute_gateway_retries_total", "failed");
     StartAttempt(request);
     return;
@@ -269,7 +270,8 @@
     RestartStages(request, "the replica found a result gone");
     return;
   }
-  if (attempt.head && !ServiceBudget(request->service).Take(output->Now())) {
+  if (attempt.head &&
+      !ServiceBudget(request->service).TryUseRetries(output->Now())) {
     Refuse(request, {Refusal::kFull, Verdict::kNotRun, 0,
                      "the replica refused, and the retry budget is spent"});
     return;
@@ -286,7 +288,8 @@
                       {"replica", request->attempt.replica.id.name},
                       {"why", why},
                       {"begun", request->stream_begun}});
-  if (MayRetry(*request) && ServiceBudget(request->service).Take(now)) {
+  if (MayRetry(*request) &&
+      ServiceBudget(request->service).TryUseRetries(now)) {
     metrics->Count("acaciachute_gateway_retries_total", "lost");
     request->events.DiscardPartialEvent();
     if (request->stream_begun) {
--- a/src/coordination/gateway/gateway_impl.h
+++ b/src/coordination/gateway/gateway_impl.h
@@ -112,7 +112,7 @@
   Attempt attempt;
   std::uint32_t possible_runs = 0;  // Number of attempts that may have run.
   std::vector<ReplicaId> tried;
-  bool awaits_cold = false;  // See `Gateway::Impl::AwaitColdReplica`.
+  bool awaits_cold_replica = false;  // See `Gateway::Impl::AwaitColdReplica`.
   EventSplitter events;
   bool stream_begun = false;  // The head of the stream was sent to the client.
   TimeUs stream_begun_at = 0;
@@ -242,7 +242,7 @@
   bool peer_can_check_keys = false;
   // By route: 90th percentile of its clients' deadlines, in microseconds.
   std::map<std::string, double> deadline_p90_us;
-  ColdReplicaLimiter cold;
+  ColdReplicaLimiter cold_replica_limiter;
   EngineChoice engines;
   std::map<std::string, std::unique_ptr<PlainChoice>> plain_choices;
   std::map<std::string, ServiceRetryBudget> budgets;
@@ -256,7 +256,7 @@
   // Earliest time at which the next parked request is started.
   TimeUs next_parked_at = 0;
   // Requests waiting for capacity of a cold replica, in the same order.
-  std::set<std::tuple<std::uint32_t, TimeUs, ExchangeId>> awaiting_cold;
+  std::set<std::tuple<std::uint32_t, TimeUs, ExchangeId>> awaiting_cold_replica;
 };
 
 }  // namespace acaciachute
--- a/src/coordination/gateway/service_retry_budget.h
+++ b/src/coordination/gateway/service_retry_budget.h
@@ -36,7 +36,7 @@
   void OnRequest(TimeUs now) { Add(&requests_, now, 1); }
 
   // Returns whether `n` retries may be sent now; counts them if so.
-  bool Take(TimeUs now, std::uint32_t n = 1) {
+  bool TryUseRetries(TimeUs now, std::uint32_t n = 1) {
     const double allowed =
         kUsableShare * (limits_.slack / static_cast<double>(gateway_count_) +
                         limits_.ratio * Sum(&requests_, now));
--- a/src/coordination/interface/entry_request.h
+++ b/src/coordination/interface/entry_request.h
@@ -29,7 +29,7 @@
   std::optional<std::uint32_t> last_chunk;
   std::string answer;  // Concatenation of the chunks below `next_chunk`.
   std::size_t bytes = 0;
-  DurationUs service = 0;
+  DurationUs service_time = 0;  // Largest reported by a chunk.
 };
 
 struct EntryRequest {
--- a/src/coordination/interface/pipeline.cc
+++ b/src/coordination/interface/pipeline.cc
@@ -164,7 +164,7 @@
       chunk.sequence - attempt.next_chunk > kMaxEarlyChunks) {
     return false;
   }
-  attempt.service = std::max(attempt.service, chunk.service);
+  attempt.service_time = std::max(attempt.service_time, chunk.service);
   if (chunk.last) {
     attempt.last_chunk = chunk.sequence;
   }
@@ -207,7 +207,7 @@
 
 void Pipeline::FinishStage(TimeUs now, EntryRequest& request) {
   std::string body = std::move(request.attempt->answer);
-  request.cost.back().service += request.attempt->service;
+  request.cost.back().service += request.attempt->service_time;
   request.may_have_run = true;
   EndAttempt(now, request, "answered", AttemptEnd::kAnswered);
   if (request.InLastStage()) {
@@ -282,7 +282,7 @@
   const StageAttempt& attempt = *request.attempt;
   const DurationUs took = now - attempt.sent_at;
   Replica* replica = replicas_->Find(attempt.node);
-  load_->OnAttemptEnd(now, &request.load, replica, end, attempt.service);
+  load_->OnAttemptEnd(now, &request.load, replica, end, attempt.service_time);
   if (replica != nullptr) {
     replica->latency += (took - replica->latency) / kLatencyInverseWeight;
   }
--- a/src/coordination/membership/gateway_peers.h
+++ b/src/coordination/membership/gateway_peers.h
@@ -94,7 +94,8 @@
   void OnUnreachable(TimeUs now, const NodeId& node);
   // All gateways that may send work, sorted and including this one: those with
   // a heartbeat within `kKnownPeerDuration`, whatever their state since then,
-  // and those that were listed recently.
+  // and, for `kPeerRemovalTimeout` after the store first listed them, those
+  // without a heartbeat so far.
   std::vector<NodeId> Known(TimeUs now) const;
   // Must be called before each `TakeLost`, every 30 ms.
   //
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -76,7 +76,8 @@
   // Period at which `kHelpersPerRequest` entries are asked about each suspected
   // sidecar.
   static constexpr DurationUs kHelpRequestPeriod = 500 * kMillisecond;
-  // Delay of the host list; see docs/PLATFORM.md.
+  // Longest time from a change of a host's state until the platform's host list
+  // shows it; see docs/PLATFORM.md.
   static constexpr DurationUs kMaxHostListLag = 30 * kSecond;
   // Interval of the driver's calls of `OnTick`.
   static constexpr DurationUs kTick = 50 * kMillisecond;
--- a/src/coordination/settings/settings_sync.cc
+++ b/src/coordination/settings/settings_sync.cc
@@ -326,10 +326,11 @@
 }
 
 // Decides whether this process may serve and count as a witness after its
-// start. A witness that restarts and forgets a change that it helped to accept
-// could form a majority with one that never had it, and the accepted change
-// would be reverted. Of n witnesses at least n/2 (rounded down) others hold
-// what was accepted, so among n/2 (rounded up) others there is one of them.
+// start. A witness that restarts and loses a change that it had helped to
+// accept could form a majority with witnesses that never had the change, and
+// the accepted change would be reverted. Of n witnesses at least n/2 (rounded
+// down) others hold what was accepted, so among any n/2 (rounded up) others at
+// least one holds it.
 void SettingsSync::UpdateEstablished() {
   if (established_) {
     return;
--- a/src/coordination/stages/piece_batcher.cc
+++ b/src/coordination/stages/piece_batcher.cc
@@ -119,16 +119,17 @@
   }
 }
 
-DurationUs PieceBatcher::NearDelay(TimeUs now, const Piece& piece) {
+DurationUs PieceBatcher::PreferredDomainWait(TimeUs now, const Piece& piece) {
   const DurationUs slack = piece.latest_start - now;
-  return std::clamp(slack / 2, kMinNearDelay, kMaxNearDelay);
+  return std::clamp(slack / 2, kMinPreferredDomainWait,
+                    kMaxPreferredDomainWait);
 }
 
 bool PieceBatcher::MayRunInDomain(TimeUs now,
                                   const Piece& piece,
                                   const std::string& domain) {
   if (piece.task.near_domain.empty() || piece.task.near_domain == domain ||
-      now - piece.queued_at >= NearDelay(now, piece)) {
+      now - piece.queued_at >= PreferredDomainWait(now, piece)) {
     return true;
   }
   const auto& replicas = replicas_.All();
@@ -151,9 +152,9 @@
   return n;
 }
 
-// Memory for the results of the pieces that start together with this one: those
-// of its request and stage, unless they would fill more than half of a
-// replica's memory.
+// Result memory for the pieces that should start together with this one: all
+// waiting pieces of its request and stage or, if their results would take more
+// than half of a replica's result memory, this piece alone.
 std::uint64_t PieceBatcher::GroupResultBytes(const Piece& piece) const {
   const std::uint64_t piece_bytes = piece.task.result_bytes;
   const std::uint64_t group_bytes =
@@ -447,7 +448,7 @@
     --inputs_read_.at({key.request, key.stage});
   }
   if (piece->attempts < kMaxCallsPerPiece && now < piece->deadline &&
-      budget_->Take(now)) {
+      budget_->TryUseRetries(now)) {
     Enqueue(now, piece);
     return;
   }
@@ -542,7 +543,7 @@
     const auto it = pieces_.find(task.key);
     if (it != pieces_.end() && !it->second.queued && it->second.calls == 1 &&
         it->second.attempts < kMaxCallsPerPiece &&
-        !InputsReleased(it->second) && budget_->Take(now)) {
+        !InputsReleased(it->second) && budget_->TryUseRetries(now)) {
       Enqueue(now, &it->second);
     }
   }
@@ -574,28 +575,30 @@
   return std::clamp<std::size_t>(fit, 1, limits_.batch);
 }
 
-PieceBatcher::Pace PieceBatcher::CurrentPace(TimeUs now) const {
-  const auto [replicas, first_free] =
+PieceBatcher::QueueSpeed PieceBatcher::CurrentQueueSpeed(TimeUs now) const {
+  const auto [replicas, time_until_free] =
       replicas_.NextAvailability(now, kCallTimeout);
   if (replicas == 0) {
     return {};
   }
   const std::size_t batch = ExpectedBatchSize();
-  Pace pace{true, first_free,
-            static_cast<double>(replicas_.CallTime(1, batch)) /
-                static_cast<double>(replicas * batch)};
-  pace.time_per_piece =
-      std::max(pace.time_per_piece, queue_rate_.TimePerPiece(now).value_or(0));
-  return pace;
+  QueueSpeed speed{true, time_until_free,
+                   static_cast<double>(replicas_.CallTime(1, batch)) /
+                       static_cast<double>(replicas * batch)};
+  speed.time_per_piece =
+      std::max(speed.time_per_piece, queue_rate_.TimePerPiece(now).value_or(0));
+  return speed;
 }
 
 // Time until a piece behind `ahead` others starts.
-DurationUs PieceBatcher::WaitBehind(const Pace& pace, std::size_t ahead) {
-  if (!pace.has_replica) {
+DurationUs PieceBatcher::WaitBehind(const QueueSpeed& speed,
+                                    std::size_t ahead) {
+  if (!speed.has_replica) {
     return kCallTimeout;
   }
-  return pace.first_free + static_cast<DurationUs>(static_cast<double>(ahead) *
-                                                   pace.time_per_piece);
+  return speed.time_until_free +
+         static_cast<DurationUs>(static_cast<double>(ahead) *
+                                 speed.time_per_piece);
 }
 
 QueueWait PieceBatcher::ExpectedWait(TimeUs now) const {
@@ -609,12 +612,12 @@
       ++ahead[n];
     }
   }
-  const Pace pace = CurrentPace(now);
+  const QueueSpeed speed = CurrentQueueSpeed(now);
   QueueWait wait;
   for (std::size_t n = 0; n < QueueWait::kPriorityLevels; ++n) {
-    wait.in_time[n] = WaitBehind(pace, ahead[n]);
+    wait.in_time[n] = WaitBehind(speed, ahead[n]);
   }
-  wait.late = WaitBehind(pace, waiting_.size());
+  wait.late = WaitBehind(speed, waiting_.size());
   wait.memory = replicas_.MemoryShareInUse();
   return wait;
 }
--- a/src/coordination/stages/piece_batcher.h
+++ b/src/coordination/stages/piece_batcher.h
@@ -106,12 +106,12 @@
   // fill it. The remainder is kept for requests that can still meet their
   // deadlines.
   static constexpr double kLateMemoryShare = 0.6;
-  // Bounds of the time that a piece waits for a replica in its own failure
-  // domain while others are free, because its inputs or its result would cross
-  // domains. Within them, it waits for half of the time that its request has to
-  // spare.
-  static constexpr DurationUs kMinNearDelay = 80 * kMillisecond;
-  static constexpr DurationUs kMaxNearDelay = 300 * kMillisecond;
+  // Bounds of the time that a piece waits for a replica in its preferred
+  // failure domain (`PieceTask::near_domain`) while replicas in other domains
+  // are free, because its inputs or its result would cross domains. Within
+  // them, it waits for half of the time that its request has to spare.
+  static constexpr DurationUs kMinPreferredDomainWait = 80 * kMillisecond;
+  static constexpr DurationUs kMaxPreferredDomainWait = 300 * kMillisecond;
   // Share of the fixed part of a call after which the call is taken to have
   // read its inputs. In a burst, results fill the memory of their replicas,
   // some only because the next stage is working on them, so inputs are released
@@ -206,17 +206,18 @@
     bool inputs_read = false;
   };
   // Speed of the queue, from which waits are predicted.
-  struct Pace {
-    bool has_replica = false;   // Whether any replica takes calls.
-    DurationUs first_free = 0;  // Time until the next call starts.
-    double time_per_piece = 0;  // Microseconds per piece.
+  struct QueueSpeed {
+    bool has_replica = false;        // Whether any replica takes calls.
+    DurationUs time_until_free = 0;  // Time until the next call starts.
+    double time_per_piece = 0;       // Microseconds per piece.
   };
-  Pace CurrentPace(TimeUs now) const;
-  static DurationUs WaitBehind(const Pace& pace, std::size_t ahead);
+  QueueSpeed CurrentQueueSpeed(TimeUs now) const;
+  static DurationUs WaitBehind(const QueueSpeed& speed, std::size_t ahead);
   std::size_t ExpectedBatchSize() const;
   void SendReleases();
-  // How long the piece waits for a replica near its data.
-  static DurationUs NearDelay(TimeUs now, const Piece& piece);
+  // How long the piece waits for a replica in its preferred failure domain
+  // before any replica may take it.
+  static DurationUs PreferredDomainWait(TimeUs now, const Piece& piece);
   bool MayRunInDomain(TimeUs now,
                       const Piece& piece,
                       const std::string& domain);
--- a/src/coordination/stages/stage_progress.h
+++ b/src/coordination/stages/stage_progress.h
@@ -21,14 +21,14 @@
                 const std::vector<std::uint32_t>& pieces,
                 const std::vector<DurationUs>& times);
 
-  // Returns the stages whose inputs are complete and that were not started yet,
-  // and marks them as started.
+  // Returns the stages that are due: inputs complete, not started yet, and not
+  // deferred. Marks them as started.
   //
-  // One stage takes 0.4 s and produces results of 1 MB, beside a chain of three
-  // stages that takes 1.5 s. If both start together, the large results occupy
-  // their replicas' memory while they wait for the chain. So a stage is
-  // deferred while the remaining time of the others exceeds its own by more
-  // than `kStageLeadTime`.
+  // Example for deferring: a stage that takes 0.4 s and produces 1 MB results
+  // runs beside a chain of three stages that takes 1.5 s. If both started
+  // together, the large results would occupy their replicas' memory while they
+  // wait for the chain. So a stage is deferred while the remaining time of the
+  // others exceeds its own by more than `kStageLeadTime`.
   std::vector<std::uint32_t> TakeReady();
   // How much earlier than strictly necessary a deferred stage starts. About the
   // duration of one call, so that time spent in its queue delays nothing.
--- a/src/coordination/stages/stage_replicas.cc
+++ b/src/coordination/stages/stage_replicas.cc
@@ -70,7 +70,7 @@
     return true;
   }
   std::size_t normal_replicas = 0;
-  DurationUs first_free = 0;
+  DurationUs time_until_free = 0;
   for (const ReplicaEntry* it : All()) {
     const ReplicaState& state = states_[it->id];
     if (it->id == replica.id || now < state.backoff_until ||
@@ -80,7 +80,8 @@
     const DurationUs wait = state.calls < limits_.slots
                                 ? 0
                                 : std::max<DurationUs>(0, state.free_at - now);
-    first_free = normal_replicas == 0 ? wait : std::min(first_free, wait);
+    time_until_free =
+        normal_replicas == 0 ? wait : std::min(time_until_free, wait);
     ++normal_replicas;
   }
   if (normal_replicas == 0) {
@@ -88,7 +89,8 @@
   }
   const std::size_t rounds = waiting / (normal_replicas * limits_.batch) + 1;
   const DurationUs others_done =
-      first_free + static_cast<DurationUs>(rounds) * CallTime(1, limits_.batch);
+      time_until_free +
+      static_cast<DurationUs>(rounds) * CallTime(1, limits_.batch);
   return CallTime(slowness, std::min<std::size_t>(waiting, limits_.batch)) <
          others_done;
 }
--- a/src/coordination/tables/store_requests.cc
+++ b/src/coordination/tables/store_requests.cc
@@ -22,7 +22,8 @@
       {table_, requests_.back().id, std::move(query), answer_timeout});
 }
 
-std::optional<StoreRequests::Sent> StoreRequests::Take(std::uint64_t id) {
+std::optional<StoreRequests::Sent> StoreRequests::RemoveRequest(
+    std::uint64_t id) {
   const auto it =
       std::find_if(requests_.begin(), requests_.end(),
                    [id](const Sent& sent) { return sent.id == id; });
@@ -34,7 +35,7 @@
   return sent;
 }
 
-const StoreRequests::Sent* StoreRequests::Awaited() const {
+const StoreRequests::Sent* StoreRequests::AwaitedRequest() const {
   return !requests_.empty() && requests_.back().awaited ? &requests_.back()
                                                         : nullptr;
 }
@@ -42,7 +43,7 @@
 std::optional<StoreRequests::Sent> StoreRequests::TimeOutAwaited(
     TimeUs now,
     DurationUs timeout) {
-  const Sent* const awaited = Awaited();
+  const Sent* const awaited = AwaitedRequest();
   if (awaited == nullptr ||
       now - awaited->sent_at < awaited->query.wait + timeout) {
     return std::nullopt;
--- a/src/coordination/tables/store_requests.h
+++ b/src/coordination/tables/store_requests.h
@@ -22,7 +22,7 @@
 // the version `after`. The store may be asked to hold a request for changes for
 // `wait`.
 struct TableQuery {
-  bool whole = false;
+  bool complete_table = false;
   std::string from;
   std::uint64_t after = 0;
   DurationUs wait = 0;
@@ -67,9 +67,9 @@
   // Sends a request, which replaces the awaited one if there is one.
   void SendRequest(TimeUs now, TableQuery query);
   // Removes and returns the request with this id; empty if it was cancelled.
-  std::optional<Sent> Take(std::uint64_t id);
+  std::optional<Sent> RemoveRequest(std::uint64_t id);
   // The awaited request; null if there is none.
-  const Sent* Awaited() const;
+  const Sent* AwaitedRequest() const;
   // If the awaited request has been unanswered for `timeout` beyond the time
   // for which the store was asked to hold it, it is no longer awaited and is
   // returned.
--- a/src/coordination/tables/table_relay.cc
+++ b/src/coordination/tables/table_relay.cc
@@ -89,8 +89,8 @@
 }
 
 bool TableRelay::CanAnswer(const TableRequest& request) const {
-  return known_ && (request.whole ? version_ >= request.after
-                                  : request.after >= history_from_);
+  return known_ && (request.complete_table ? version_ >= request.after
+                                           : request.after >= history_from_);
 }
 
 bool TableRelay::HasChanges(const TableRequest& request) const {
@@ -110,22 +110,22 @@
     return false;
   }
   const DurationUs age = held.arrived_at - known_at_;
-  return request.whole || request.wait == 0 ||
+  return request.complete_table || request.wait == 0 ||
          age + kMinAgeGain < request.age || HasChanges(request);
 }
 
 TableAnswer TableRelay::ChangesSince(const HeldRequest& held) const {
   const TableRequest& request = held.request;
   TableAnswer answer;
-  if (!known_ || (request.whole && table_bytes_ > kMaxTableBytes)) {
+  if (!known_ || (request.complete_table && table_bytes_ > kMaxTableBytes)) {
     answer.why = "the table is not held here";
     return answer;
   }
-  if (request.whole && version_ < request.after) {
+  if (request.complete_table && version_ < request.after) {
     answer.why = "an older table than the asker's";
     return answer;
   }
-  if (!request.whole && request.after < history_from_) {
+  if (!request.complete_table && request.after < history_from_) {
     answer.kind = TableAnswer::Kind::kHistoryTruncated;
     return answer;
   }
@@ -136,7 +136,7 @@
     return answer;
   }
   answer.known_after = known_at_ - held.arrived_at;
-  if (request.whole) {
+  if (request.complete_table) {
     answer.rows.reserve(rows_.size());
     for (const auto& [key, row] : rows_) {
       answer.rows.push_back(row);
--- a/src/coordination/tables/table_source.cc
+++ b/src/coordination/tables/table_source.cc
@@ -49,14 +49,14 @@
   return relay_failures_ >= kRelayFailuresBeforeStore;
 }
 
-bool TableSource::IsOld(TimeUs now) const {
+bool TableSource::IsStoreRequestDue(TimeUs now) const {
   return now - known_at_ >= plan_->store_request_age;
 }
 
 void TableSource::RequestFromStoreIfOld(TimeUs now) {
-  const StoreRequests::Sent* const awaited = store_requests_.Awaited();
+  const StoreRequests::Sent* const awaited = store_requests_.AwaitedRequest();
   const bool held_by_store = awaited != nullptr && awaited->query.wait > 0;
-  if (!NeedsAnswer() || known_at_ < 0 || !IsOld(now) ||
+  if (!NeedsAnswer() || known_at_ < 0 || !IsStoreRequestDue(now) ||
       !MayRequestFromStore(now) || (awaited != nullptr && !held_by_store)) {
     return;
   }
@@ -100,7 +100,7 @@
 }
 
 void TableSource::RequestFromStore(TimeUs now) {
-  if (store_requests_.Awaited() == nullptr) {
+  if (store_requests_.AwaitedRequest() == nullptr) {
     SendStoreRequest(now);
   }
 }
@@ -113,7 +113,7 @@
       now + half +
       static_cast<DurationUs>(random_->Below(static_cast<std::uint64_t>(half)));
   TableQuery query = read_.query;
-  if (IsOld(now)) {
+  if (IsStoreRequestDue(now)) {
     query.wait = 0;
   }
   metrics_->Count("acaciachute_gateway_table_questions_total", kStoreSource);
@@ -156,8 +156,8 @@
   TableRequest it;
   it.table = table_;
   it.sequence = relay_request_.sequence;
-  it.whole = read_.query.whole;
-  it.after = read_.query.whole ? version_ : read_.query.after;
+  it.complete_table = read_.query.complete_table;
+  it.after = read_.query.complete_table ? version_ : read_.query.after;
   it.wait = read_.query.wait;
   it.age = known_at_ < 0 ? std::numeric_limits<DurationUs>::max() / 2
                          : now - known_at_;
@@ -167,7 +167,7 @@
 void TableSource::OnStoreAnswer(TimeUs now,
                                 std::uint64_t id,
                                 TableAnswer answer) {
-  const auto sent = store_requests_.Take(id);
+  const auto sent = store_requests_.RemoveRequest(id);
   if (!sent) {
     return;
   }
@@ -209,9 +209,9 @@
 bool TableSource::AnswersRead(const StoreRequests::Sent& sent,
                               const TableAnswer& answer) const {
   const TableQuery& query = read_.query;
-  return NeedsAnswer() && sent.query.whole == query.whole &&
+  return NeedsAnswer() && sent.query.complete_table == query.complete_table &&
          sent.query.from == query.from &&
-         (query.whole || answer.version >= query.after);
+         (query.complete_table || answer.version >= query.after);
 }
 
 void TableSource::LogLateAnswer(TimeUs now, const StoreRequests::Sent& sent) {
@@ -275,7 +275,7 @@
     RequestFromStore(now);
   }
   const bool store_is_lost =
-      store_failed_ && store_requests_.Awaited() == nullptr;
+      store_failed_ && store_requests_.AwaitedRequest() == nullptr;
   if (store_is_lost && !MayRequestFromStore(now)) {
     Fail(now, answer);
     return;
@@ -292,7 +292,7 @@
 // it instead of the complete table.
 void TableSource::OnHistoryTruncatedAtPeer(TimeUs now,
                                            const TableAnswer& answer) {
-  if (store_failed_ || read_.query.whole) {
+  if (store_failed_ || read_.query.complete_table) {
     OnPeerAnswer(now, answer);
     return;
   }
@@ -308,7 +308,7 @@
   if (!rows) {
     answer.known_after.reset();
   }
-  if (rows && read_.query.whole && !answer.known_after) {
+  if (rows && read_.query.complete_table && !answer.known_after) {
     OnPeerFailed(now, "the relay did not send the complete table");
     return;
   }
@@ -327,7 +327,7 @@
     answer.known_after.reset();
   }
   std::erase_if(answer.rows, [&](const TableRow& it) {
-    return !query.whole && it.version <= query.after;
+    return !query.complete_table && it.version <= query.after;
   });
   relay_failures_ = 0;
   backoff_until_.erase(relay_request_.peer);
@@ -339,7 +339,7 @@
   last_failure_ = reason;
   relay_request_ = {};
   ++relay_failures_;
-  if ((RelaysFailed() || IsOld(now)) && MayRequestFromStore(now)) {
+  if ((RelaysFailed() || IsStoreRequestDue(now)) && MayRequestFromStore(now)) {
     RequestFromStore(now);
   }
   if (!RelaysFailed()) {
@@ -348,7 +348,8 @@
   if (relay_request_.peer.empty() && MayRequestFromStore(now)) {
     RequestFromStore(now);
   }
-  if (!relay_request_.peer.empty() || store_requests_.Awaited() != nullptr) {
+  if (!relay_request_.peer.empty() ||
+      store_requests_.AwaitedRequest() != nullptr) {
     return;
   }
   TableAnswer failed;
--- a/src/coordination/tables/table_source.h
+++ b/src/coordination/tables/table_source.h
@@ -119,8 +119,8 @@
   // Whether the store may be asked now: while it fails, only when the next
   // retry is due.
   bool MayRequestFromStore(TimeUs now) const;
-  // Whether the data are so old that the store itself has to be asked.
-  bool IsOld(TimeUs now) const;
+  // Whether the table is so old that the store itself has to be asked.
+  bool IsStoreRequestDue(TimeUs now) const;
   DurationUs StoreTimeout() const;
   void CheckStoreTimeout(TimeUs now);
   void RequestFromStoreIfOld(TimeUs now);
--- a/src/ctl/request_commands.cc
+++ b/src/ctl/request_commands.cc
@@ -22,7 +22,7 @@
     return PrintError(ExitCode::kUnavailable,
                       StrCat("the entry does not answer: ", result.error));
   }
-  Json shown = {{"http_status", result.status}, {"whole", result.whole}};
+  Json shown = {{"http_status", result.status}, {"whole", result.complete}};
   for (const auto& [name, value] : result.headers) {
     if (name.starts_with("Acaciachute-") || name == "traceparent" ||
         name == "Retry-After") {
@@ -32,8 +32,8 @@
   const Json body = Json::parse(result.body, nullptr, false);
   shown["body"] = body.is_discarded() ? Json(result.body) : body;
   PrintObject(command.format, shown);
-  return result.status == kHttpOk && result.whole ? ExitCode::kOk
-                                                  : ExitCode::kFailed;
+  return result.status == kHttpOk && result.complete ? ExitCode::kOk
+                                                     : ExitCode::kFailed;
 }
 
 ExitCode Call(const Command& command, HttpRequest request) {
--- a/src/daemon/entry_node.cc
+++ b/src/daemon/entry_node.cc
@@ -211,7 +211,7 @@
   void OnHttpRequest(std::uint64_t handle,
                      const HttpHead& head,
                      std::string_view body) override;
-  void OnHttpGone(std::uint64_t handle) override {
+  void OnHttpDisconnected(std::uint64_t handle) override {
     streams.erase(handle);
     entry.OnCallerDisconnected(Loop::Now(), handle);
     Rearm();
@@ -307,7 +307,7 @@
     StoreAnswer answer;
     if (!result.sent) {
       answer.status = StoreStatus::kUnavailable;
-    } else if (result.whole) {
+    } else if (result.complete) {
       answer = DecodeStoreAnswer(result.status, result.body);
     }
     platform.End(Loop::Now(), call, answer.status);
@@ -513,7 +513,7 @@
   request.url = StrCat(settings.platform_url, "/v1/hosts");
   request.repeatable = true;
   store.Call(request, [this, call = *call](const HttpResult& result) {
-    const bool ok = result.status == kHttpOk && result.whole;
+    const bool ok = result.status == kHttpOk && result.complete;
     platform.End(Loop::Now(), call,
                  ok ? StoreStatus::kOk : StoreStatus::kUnavailable);
     if (ok) {
--- a/src/daemon/gateway_node_impl.h
+++ b/src/daemon/gateway_node_impl.h
@@ -80,7 +80,7 @@
     void OnRequest(ExchangeId id, HttpRequestHead head, std::string) override {
       owner_->OnOperatorRequest(id, head);
     }
-    void OnGone(ExchangeId) override {}
+    void OnClientDisconnected(ExchangeId) override {}
     void OnWritten(ExchangeId) override {}
     void OnListenerEvent(const ListenerEvent&) override {}
 
@@ -96,7 +96,9 @@
   void OnRequest(ExchangeId id,
                  HttpRequestHead head,
                  std::string body) override;
-  void OnGone(ExchangeId id) override { gateway->OnClientDisconnected(id); }
+  void OnClientDisconnected(ExchangeId id) override {
+    gateway->OnClientDisconnected(id);
+  }
   void OnWritten(ExchangeId id) override { gateway->OnWritten(id); }
   void OnListenerEvent(const ListenerEvent& event) override;
 
--- a/src/daemon/gateway_node_store.cc
+++ b/src/daemon/gateway_node_store.cc
@@ -103,8 +103,8 @@
   return std::nullopt;
 }
 
-// Deduplicates the lines, because another writer may write such a row many
-// times per second.
+// Logs a refused row only if the reason differs from the one logged last for
+// its key, because another writer may write the row many times per second.
 void GatewayNode::Impl::LogRefusedRow(std::string_view event,
                                       const TableRow& row,
                                       const std::string& why) {
--- a/src/daemon/sidecar_node.cc
+++ b/src/daemon/sidecar_node.cc
@@ -135,7 +135,7 @@
   void OnHttpRequest(std::uint64_t handle,
                      const HttpHead& head,
                      std::string_view body) override;
-  void OnHttpGone(std::uint64_t handle) override {}
+  void OnHttpDisconnected(std::uint64_t handle) override {}
 
   void FetchReport();
   void LogState();
@@ -192,7 +192,7 @@
   platform.Call(request, [this, ticket](const HttpResult& result) {
     const auto answer = DecodeStoreAnswer(result.status, result.body);
     std::optional<FenceNumber> number;
-    if (result.whole && answer.status == StoreStatus::kOk &&
+    if (result.complete && answer.status == StoreStatus::kOk &&
         !answer.rows.empty()) {
       number = FenceOfLeaseRow(answer.rows[0]);
     }
--- a/src/messages.h
+++ b/src/messages.h
@@ -246,11 +246,11 @@
 // While there are none, the receiver delays its reply by up to `wait`.
 struct TableRequest {
   std::string table;
-  std::uint64_t sequence = 0;  // Numbers the sender's requests.
-  bool whole = false;          // Requests all rows; else those after `after`.
-  std::uint64_t after = 0;     // Version of the table that the sender has.
-  DurationUs wait = 0;         // Zero: reply at once, even without changes.
-  DurationUs age = 0;          // Age of the sender's copy of the table.
+  std::uint64_t sequence = 0;   // Numbers the sender's requests.
+  bool complete_table = false;  // Requests all rows; else those after `after`.
+  std::uint64_t after = 0;      // Version of the table that the sender has.
+  DurationUs wait = 0;          // Zero: reply at once, even without changes.
+  DurationUs age = 0;           // Age of the sender's copy of the table.
 };
 
 struct TableReply {
--- a/src/protocol/frame.cc
+++ b/src/protocol/frame.cc
@@ -150,7 +150,7 @@
 }
 template <class A>
 void serialize(A& a, TableRequest& v) {
-  a(v.table, v.sequence, v.whole, v.after, v.wait, v.age);
+  a(v.table, v.sequence, v.complete_table, v.after, v.wait, v.age);
 }
 template <class A>
 void serialize(A& a, TableRow& v) {
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -21,8 +21,9 @@
     return false;
   }
   const EndedIncarnation& ended = it->second;
-  entry->leaving = entry->leaving ||
-                   (entry->id.incarnation == ended.incarnation && ended.left);
+  entry->leaving =
+      entry->leaving ||
+      (entry->id.incarnation == ended.incarnation && ended.announced_leaving);
   return entry->id.incarnation < ended.incarnation;
 }
 
@@ -86,7 +87,8 @@
   if (entry.id.incarnation == known) {
     Update(&it->second, entry);
   } else if (entry.id.incarnation == 0) {
-    // The replica's own rows have the start, so another writer wrote this one.
+    // A replica's own rows have an incarnation, so another writer wrote this
+    // one.
     PutUnreadable(entry.id.name);
   } else if (entry.id.incarnation < known) {
     watcher_->OnReplica(entry, DirectoryChange::kOlderIncarnation);
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -187,14 +187,15 @@
   };
   struct EndedIncarnation {
     Incarnation incarnation = 0;
-    bool left = false;  // Announced that it leaves, which is final.
-    TimeUs at = 0;      // When the incarnation's entry was removed.
+    // Final: an older row does not revert it.
+    bool announced_leaving = false;
+    TimeUs at = 0;  // When the incarnation's entry was removed.
   };
   using Rows = absl::node_hash_map<std::string, Row>;
 
   // Compares a row with the last ended incarnation of its name. Returns true if
-  // the row is of an earlier one. Marks `entry` as leaving if it is of the same
-  // one and that had announced that it leaves.
+  // `entry` is of an earlier incarnation. Marks `entry` as leaving if it is of
+  // that ended incarnation and the replica had announced that it leaves.
   bool ApplyEnded(ReplicaEntry* entry) const;
   // Inserts or replaces the entry of that name.
   void Insert(const ReplicaEntry& entry);
--- a/src/transport/http_client.cc
+++ b/src/transport/http_client.cc
@@ -66,7 +66,7 @@
     return;
   }
   if (g_bytes_get_size(bytes.get()) == 0) {
-    call->result.whole = true;
+    call->result.complete = true;
     Finish(call);
     return;
   }
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -26,9 +26,9 @@
 };
 
 struct HttpResult {
-  int status = 0;      // HTTP status; zero without an answer.
-  bool sent = false;   // Whether the request may have reached the server.
-  bool whole = false;  // Whether the complete answer was received.
+  int status = 0;         // HTTP status; zero without an answer.
+  bool sent = false;      // Whether the request may have reached the server.
+  bool complete = false;  // Whether the complete answer was received.
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;  // Empty if the body was passed to the `PartFn`.
   std::string error;
--- a/src/transport/http_listener.cc
+++ b/src/transport/http_listener.cc
@@ -105,7 +105,7 @@
     ListenerHandler* handler = owner_->handler;
     owner_->Remove(this);  // `this` is deleted.
     if (id != 0) {
-      handler->OnGone(id);
+      handler->OnClientDisconnected(id);
     }
   }
 
--- a/src/transport/http_listener.h
+++ b/src/transport/http_listener.h
@@ -49,7 +49,7 @@
                          HttpRequestHead head,
                          std::string body) = 0;
   // The client closed its connection before its answer was complete.
-  virtual void OnGone(ExchangeId id) = 0;
+  virtual void OnClientDisconnected(ExchangeId id) = 0;
   // Everything written for `id` has been passed to the kernel.
   virtual void OnWritten(ExchangeId id) = 0;
   // The listener refused a request or a connection without passing it on.
--- a/src/transport/http_server.cc
+++ b/src/transport/http_server.cc
@@ -239,7 +239,7 @@
                                  nullptr);
   soup_message_body_complete(soup_server_message_get_response_body(message));
   soup_server_message_unpause(message);
-  handler->OnHttpGone(handle);
+  handler->OnHttpDisconnected(handle);
 }
 
 void HttpServer::Impl::OnEnded(SoupServerMessage* message) {
@@ -254,7 +254,7 @@
   exchange->connection()->WatchIdle();
   const bool was_open = open.erase(exchange->handle) > 0;
   if (was_open && !exchange->complete) {
-    handler->OnHttpGone(exchange->handle);
+    handler->OnHttpDisconnected(exchange->handle);
   }
 }
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -47,7 +47,7 @@
                              const HttpHead& head,
                              std::string_view body) = 0;
   // The client disconnected before its answer was complete.
-  virtual void OnHttpGone(std::uint64_t handle) = 0;
+  virtual void OnHttpDisconnected(std::uint64_t handle) = 0;
 };
 
 class HttpServer {
--- a/src/transport/loop.cc
+++ b/src/transport/loop.cc
@@ -36,7 +36,8 @@
                             new TaskHolder{std::move(task), repeats}, FreeTask);
 }
 
-// A poll that took at least this long blocked, so no event was pending before.
+// A poll that took at least these 100 us blocked, so no event was pending
+// before.
 constexpr DurationUs kMinBlockedTime = 100;
 
 struct PollTimes {
--- a/src/transport/upstream_client.cc
+++ b/src/transport/upstream_client.cc
@@ -53,7 +53,7 @@
   if (result.status == kHttpUnavailable || result.status == kHttpTooMany) {
     return UpstreamError::kRejected;
   }
-  return result.whole ? UpstreamError::kMalformed : UpstreamError::kBroken;
+  return result.complete ? UpstreamError::kMalformed : UpstreamError::kBroken;
 }
 
 // Returns the fencing number in the answer, or zero if there is none.
@@ -70,7 +70,7 @@
       result.status == kHttpTooMany) {
     return OrderOutcome::kNotSent;
   }
-  if (!result.whole) {
+  if (!result.complete) {
     return OrderOutcome::kUnknown;
   }
   return result.status == kHttpOk         ? OrderOutcome::kDone
@@ -104,7 +104,7 @@
   }
   const RunningCall call = std::move(it->second);
   running.erase(it);
-  if (result.status != kHttpOk || !result.whole) {
+  if (result.status != kHttpOk || !result.complete) {
     callbacks.error(id, ErrorOf(result));
     return;
   }
@@ -201,7 +201,7 @@
   request.url = StrCat(impl_->url, "/v1/fence");
   request.repeatable = true;
   impl_->reports.Call(request, [done](const HttpResult& result) {
-    const bool enforces_fence = result.status == kHttpOk && result.whole;
+    const bool enforces_fence = result.status == kHttpOk && result.complete;
     done(enforces_fence || result.status == kHttpNotFound, enforces_fence,
          ParseFence(result));
   });
--- a/tests/core_path_test.cc
+++ b/tests/core_path_test.cc
@@ -14,7 +14,7 @@
   return options;
 }
 
-TEST(CorePathTest, EveryStageRunsOnceAndTheAnswerIsWhole) {
+TEST(CorePathTest, EveryStageRunsOnceAndTheAnswerIsComplete) {
   CoreDriver driver(TwoStages());
   const auto handle = driver.Ask(0, CoreDriver::MakeRequest(R"("a")"));
   driver.Run(kSecond);
--- a/tests/decisions_bench_test.cc
+++ b/tests/decisions_bench_test.cc
@@ -22,7 +22,7 @@
 
 Result RunShort(std::string_view name,
                 std::uint64_t seed,
-                Policy policy = Policy::kReal) {
+                Policy policy = Policy::kProduction) {
   return Run(kDeployments[0], FindPattern(name), policy, seed,
              kShortRunDuration);
 }
--- a/tests/gateway/choices_test.cc
+++ b/tests/gateway/choices_test.cc
@@ -95,7 +95,7 @@
 // Large results are stored in one failure domain, and no engine caches the
 // prompt. The request goes to an engine in that domain, unless the unread
 // prompts there cost more than fetching the results from another domain.
-TEST(EngineChoiceTest, GoesWhereLargeResultsLie) {
+TEST(EngineChoiceTest, PrefersTheDomainOfLargeResults) {
   Fleet fleet(4);
   EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
   const std::vector<PromptPart> prompt = {{"q", 1000}};
@@ -140,7 +140,7 @@
 
 // A replica stops responding, so it has no answer times. The age of its oldest
 // call in progress keeps other calls away from it.
-TEST(PlainChoiceTest, AvoidsASilentReplica) {
+TEST(PlainChoiceTest, AvoidsAnUnresponsiveReplica) {
   Fleet fleet(2);
   PlainChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
   const TimeUs now = 1000 * kSecond;
@@ -167,7 +167,7 @@
     ServiceRetryBudget& it = budgets[static_cast<std::size_t>(n) % kEntries];
     it.OnRequest(now);
     ++requests;
-    repeats += it.Take(now) ? 1 : 0;
+    repeats += it.TryUseRetries(now) ? 1 : 0;
   }
   EXPECT_LE(repeats, 0.2 * requests + 56);
   EXPECT_GT(repeats, 50);
--- a/tests/gateway/cold_replica_limiter_test.cc
+++ b/tests/gateway/cold_replica_limiter_test.cc
@@ -15,8 +15,9 @@
 namespace acaciachute {
 namespace {
 
+// Rate of requests per second that a cold replica handles (`cold_rate`).
 constexpr double kColdRate = 21;
-constexpr int kBound = 36;  // 21 x 1.5 + 5, rounded down.
+constexpr int kMaxRequestsPerSecond = 36;  // 21 x 1.5 + 5, rounded down.
 
 ServingConfig ConfigWithColdEngines() {
   ServingConfig config;
@@ -39,7 +40,7 @@
 std::unique_ptr<ColdReplicaLimiter> LimitOf(const NodeId& node,
                                             std::vector<NodeId> gateways) {
   auto limit = std::make_unique<ColdReplicaLimiter>(node);
-  limit->SetBound({}, 1200 * kMillisecond);
+  limit->SetRateLimit({}, 1200 * kMillisecond);
   limit->SetServices(ConfigWithColdEngines());
   limit->SetGateways(std::move(gateways));
   return limit;
@@ -77,8 +78,8 @@
     for (const NodeId& it : Names(n)) {
       sum += SendAll(kSecond, LimitOf(it, Names(n)).get(), replica);
     }
-    EXPECT_LE(sum, kBound) << n;
-    EXPECT_GE(sum, kBound / 2) << n;
+    EXPECT_LE(sum, kMaxRequestsPerSecond) << n;
+    EXPECT_GE(sum, kMaxRequestsPerSecond / 2) << n;
   }
 }
 
@@ -101,7 +102,7 @@
 }
 
 // Requests of the last second count if the replica becomes cold within it.
-TEST(ColdReplicaLimiterTest, CountsWhatCameWhileItWasWarm) {
+TEST(ColdReplicaLimiterTest, CountsRequestsSentBeforeTheReplicaBecameCold) {
   ReplicaEntry replica = ColdReplica(0);
   const auto limit = LimitOf("g0", Names(26));
   EXPECT_EQ(SendAll(kSecond, limit.get(), replica), 1000);
@@ -280,8 +281,8 @@
   }
   std::vector<TimeUs> at = fleet.arrivals();
   std::sort(at.begin(), at.end());
-  for (std::size_t n = kBound; n < at.size(); ++n) {
-    RC_ASSERT(at[n] - at[n - kBound] > kSecond);
+  for (std::size_t n = kMaxRequestsPerSecond; n < at.size(); ++n) {
+    RC_ASSERT(at[n] - at[n - kMaxRequestsPerSecond] > kSecond);
   }
 }
 
--- a/tests/gateway/evacuation_test.cc
+++ b/tests/gateway/evacuation_test.cc
@@ -84,9 +84,9 @@
   EXPECT_EQ(rig.answered[id].second, "good");
 }
 
-// All failure domains are evacuated. New requests are refused at once as not
-// run, with a Retry-After, and so are requests whose stages are in progress; a
-// request that is already at a replica is answered.
+// All failure domains are evacuated. New requests are refused at once, with the
+// verdict that they did not run and a Retry-After, and so are requests whose
+// stages are in progress; a request that is already at a replica is answered.
 TEST(EvacuationTest, RefusesAtOnceWhenAllAreEmptied) {
   EvacuationRig rig;
   rig.AddReplica("e1", "engine", "a");
--- a/tests/gateway/fill_call_test.cc
+++ b/tests/gateway/fill_call_test.cc
@@ -58,7 +58,7 @@
 
 // Inputs are in four failure domains. A replica takes the requests of its own
 // domain first, although many others arrived a little earlier.
-TEST(FillCallTest, TakesWhatIsNearFirst) {
+TEST(FillCallTest, TakesGroupsWithNearInputsFirst) {
   std::vector<WaitingGroup> groups;
   groups.reserve(8);
   for (TimeUs n = 0; n < 8; ++n) {
--- a/tests/gateway/freshness_test.cc
+++ b/tests/gateway/freshness_test.cc
@@ -139,10 +139,10 @@
   }
 };
 
-// Guards against delays between the store and a gateway that add up to more
-// than a bound, for some value of the bound and any fault of the gateway that
-// is asked.
-TEST_P(FreshnessBoundTest, NothingIsChosenThatLeftLongerAgoThanTheBoundAllows) {
+// Guards against a removed replica being chosen after the staleness bound,
+// because the delays between the store and a gateway add up to more. Checks
+// several bounds and each fault of the relay that is asked.
+TEST_P(FreshnessBoundTest, RemovedReplicasAreNotChosenAfterTheBound) {
   const DurationUs bound = std::get<DurationUs>(GetParam());
   // The removal happens at a different time in each.
   constexpr int kRounds = 8;
@@ -194,10 +194,10 @@
 
 class FreshnessContactTest : public ::testing::TestWithParam<DurationUs> {};
 
-// Guards against a request that was lost while the store could not be reached
-// and that keeps a host from sending a new one for longer than the settings
-// allow.
-TEST_P(FreshnessContactTest, WhatTheStoreHoldsIsKnownInTimeAfterItIsBack) {
+// Guards against a gateway that waits for the answer to a request lost during a
+// store outage and so sends no new request for longer than the settings allow.
+TEST_P(FreshnessContactTest,
+       TableIsCurrentWithinTheRecoveryBoundAfterAnOutage) {
   const DurationUs recovery_bound = GetParam();
   constexpr int kRounds = 12;
   const FreshnessPlan plan = PlanFreshness(kMaxStaleness, recovery_bound);
@@ -293,7 +293,7 @@
   }
 }
 
-TEST(RemoteClockTest, TellsWhenAHeldRequestWasAnswered) {
+TEST(RemoteClockTest, ComputesWhenAHeldRequestWasAnswered) {
   RemoteClock clock;
   constexpr DurationUs kBehind = 70 * kSecond;
   const TimeUs first = 100 * kSecond;
@@ -307,7 +307,7 @@
 }
 
 // If the remote clock jumps ahead, no answer is placed in the future.
-TEST(RemoteClockTest, StartsAnewWhenTheOtherClockJumpsAhead) {
+TEST(RemoteClockTest, DiscardsTheBoundWhenTheRemoteClockJumpsAhead) {
   RemoteClock clock;
   clock.LocalTimeOf(5 * kSecond, 100 * kSecond, 100 * kSecond + 1);
   EXPECT_EQ(clock.LocalTimeOf(500 * kSecond, 101 * kSecond, 102 * kSecond),
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -7,7 +7,7 @@
 namespace acaciachute {
 namespace {
 
-TEST(GatewayTest, PassesAWholeAnswerOn) {
+TEST(GatewayTest, PassesACompleteAnswerOn) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
   const ExchangeId id = rig.Call("plain");
@@ -133,8 +133,8 @@
 }
 
 // While the gateway cannot confirm its configuration, a key may have been
-// revoked, so requests with keys are refused as not run. Anonymous routes are
-// served.
+// revoked, so requests with keys are refused with the verdict that they did not
+// run. Anonymous routes are served.
 TEST(GatewayTest, UsesNoKeyUnderAnOldConfiguration) {
   GatewayOptions options;
   options.key_age = 4 * kSecond;
@@ -337,7 +337,7 @@
 // In a burst, results expire while their request waits, and there is no time to
 // make them again. The client is refused at once instead of at its deadline,
 // and no more stage work is done.
-TEST(GatewayStagesTest, RefusesAtOnceWhatHasNoTimeToBeginAgain) {
+TEST(GatewayStagesTest, RefusesARequestWithoutTimeToRestartItsStages) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 0});
@@ -379,7 +379,7 @@
 
 // The queue of late requests is long, but that of requests that can be on time
 // is short. A request that can be on time is admitted.
-TEST(GatewayStagesTest, AdmitsWhatCanBeOnTime) {
+TEST(GatewayStagesTest, AdmitsARequestThatCanMeetItsTarget) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.wait.late = 9 * kSecond;
@@ -466,7 +466,7 @@
 // An idempotent request is lost at the only replica, which may have run it, and
 // there is no other replica. The refusal must not state that the request did
 // not run.
-TEST(GatewayTest, DoesNotSayNotRunAfterATryThatMayHaveRun) {
+TEST(GatewayTest, DoesNotReportNotRunAfterAnAttemptThatMayHaveRun) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
   const ExchangeId id = rig.Call("repeat");
@@ -479,7 +479,7 @@
 // name, so nothing closes its old connections. An idempotent request is sent
 // again at once; a non-idempotent request is refused with the verdict that it
 // may have run.
-TEST(GatewayTest, EndsWhatAnIncarnationHadWhenItsReplicaStartsAgain) {
+TEST(GatewayTest, EndsTheAttemptsAtAPreviousIncarnation) {
   GatewayRig rig;
   rig.AddReplica({"r", 5}, "app");
   const ExchangeId once = rig.Call("plain");
--- a/tests/gateway/peer_net.h
+++ b/tests/gateway/peer_net.h
@@ -28,7 +28,7 @@
     GatewayPeers peers;
     bool alive = true;
     // Number of other gateways that this one took for dead.
-    std::size_t lost = 0;
+    std::size_t peers_lost = 0;
   };
 
   // Whether a datagram between two nodes, given by index, is lost.
@@ -66,7 +66,7 @@
   std::size_t LostCount() const {
     std::size_t n = 0;
     for (const auto& it : nodes_) {
-      n += it->lost;
+      n += it->peers_lost;
     }
     return n;
   }
@@ -107,7 +107,7 @@
 
   void Tick(std::size_t n) {
     Node& node = *nodes_[n];
-    node.lost += node.peers.TakeLost(now_).size();
+    node.peers_lost += node.peers.TakeLost(now_).size();
     const DurationUs period = node.peers.HeartbeatPeriod(Batches(node));
     for (const DueHeartbeat& it : node.peers.DueHeartbeats(now_, period)) {
       Send(n, it, false);
--- a/tests/gateway/piece_batcher_test.cc
+++ b/tests/gateway/piece_batcher_test.cc
@@ -282,7 +282,7 @@
   rig.Advance(10 * kMs);
   const bool free_elsewhere = before < 2;
   EXPECT_EQ(rig.calls.size(), before);
-  rig.Advance(PieceBatcher::kMinNearDelay);
+  rig.Advance(PieceBatcher::kMinPreferredDomainWait);
   EXPECT_EQ(rig.calls.size(), free_elsewhere ? before + 1 : before);
 }
 
@@ -299,7 +299,7 @@
   near.near_domain = "a";
   near.time_to_begin = 400 * kMs;
   rig.Add(near);
-  rig.Advance(PieceBatcher::kMinNearDelay + 10 * kMs);
+  rig.Advance(PieceBatcher::kMinPreferredDomainWait + 10 * kMs);
   EXPECT_EQ(rig.calls.size(), 1U);
   rig.Advance(60 * kMs);
   ASSERT_EQ(rig.calls.size(), 2U);
@@ -461,8 +461,9 @@
 
 // A replica crashes with a call whose inputs were released. If the pieces were
 // sent again, they would wait in the queue although their inputs no longer
-// exist. So the request is notified at once and starts its stages again. A slow
-// call is waited for, as it has its inputs.
+// exist. So the missing inputs are reported at once, and the request starts its
+// stages again. A call that is only slow is not ended, because its replica has
+// read the inputs.
 TEST(PieceBatcherTest, ReportsAtOnceThatInputsAreGoneWhenTheirCallBreaks) {
   BatcherRig rig;
   rig.AddReplicas(2);
--- a/tests/gateway/queue_rate_test.cc
+++ b/tests/gateway/queue_rate_test.cc
@@ -37,7 +37,7 @@
   EXPECT_GT(*rate.TimePerPiece(10 * kSecond), before);
 }
 
-TEST(QueueRateTest, ForgetsWhenNothingWaits) {
+TEST(QueueRateTest, ReportsNoRateOnceTheQueueIsEmpty) {
   QueueRate rate;
   rate.OnPiecesStarted(0, 10, true);
   rate.OnPiecesStarted(kSecond, 10, false);
--- a/tests/gateway/replica_directory_model_test.cc
+++ b/tests/gateway/replica_directory_model_test.cc
@@ -127,8 +127,8 @@
   }
 }
 
-// Draws rows including those that other writers may write: without the start of
-// the incarnation, or with the service or address of another replica.
+// Draws a row, possibly one that another writer would write: without an
+// incarnation (0), or with the service or address of another replica.
 ReplicaEntry DrawEntry() {
   ReplicaEntry entry;
   const Incarnation incarnation = *rc::gen::inRange<Incarnation>(0, 4);
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -122,7 +122,7 @@
 
 // A replica leaves, its entry is removed, and an earlier row of the same
 // incarnation is read again: that incarnation still gets no new work.
-TEST(ReplicaDirectoryTest, RemembersThatAnIncarnationLeftAfterItsEntryWent) {
+TEST(ReplicaDirectoryTest, KeepsAnIncarnationLeavingAfterItsEntryIsRemoved) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}, true));
   rig.directory.Remove(0, "r");
@@ -151,7 +151,7 @@
 
 // In a service whose replicas state their start, an entry without a start must
 // be from another writer and is not used, whichever row is read first.
-TEST(ReplicaDirectoryTest, LeavesEntriesOutThatTellNoStartAmongThoseThatDo) {
+TEST(ReplicaDirectoryTest, IgnoresEntriesWithoutAnIncarnationIfOthersStateOne) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("foreign"));
   EXPECT_EQ(rig.directory.Of("s").size(), 1U);
@@ -164,7 +164,8 @@
   EXPECT_TRUE(rig.directory.TakesWork({"r", 5}));
 }
 
-TEST(ReplicaDirectoryTest, SaysThatACountFellWithinOneIncarnation) {
+TEST(ReplicaDirectoryTest,
+     ReportsAnOrderCountThatDecreasesWithinOneIncarnation) {
   DirectoryRig rig;
   ReplicaEntry entry = DirectoryRig::Entry({"r", 5});
   entry.orders = 9;
--- a/tests/gateway/store_requests_test.cc
+++ b/tests/gateway/store_requests_test.cc
@@ -29,31 +29,31 @@
     EXPECT_LE(rig.open_ids.size(), StoreRequests::kMaxInFlight);
   }
   EXPECT_EQ(rig.open_ids, (std::vector<std::uint64_t>{1, 9, 10}));
-  EXPECT_TRUE(rig.requests.Take(1));
-  EXPECT_FALSE(rig.requests.Take(1));
-  EXPECT_FALSE(rig.requests.Take(5));
+  EXPECT_TRUE(rig.requests.RemoveRequest(1));
+  EXPECT_FALSE(rig.requests.RemoveRequest(1));
+  EXPECT_FALSE(rig.requests.RemoveRequest(5));
 }
 
-TEST(StoreRequestsTest, AwaitsTheNewestOnlyAndForATime) {
+TEST(StoreRequestsTest, AwaitsOnlyTheNewestUntilItsTimeout) {
   StoreRig rig;
-  EXPECT_EQ(rig.requests.Awaited(), nullptr);
+  EXPECT_EQ(rig.requests.AwaitedRequest(), nullptr);
   rig.requests.SendRequest(0, {false, "", 5, kSecond});
   rig.requests.SendRequest(0, {false, "", 5, 0});
-  ASSERT_NE(rig.requests.Awaited(), nullptr);
-  EXPECT_EQ(rig.requests.Awaited()->id, 2U);
+  ASSERT_NE(rig.requests.AwaitedRequest(), nullptr);
+  EXPECT_EQ(rig.requests.AwaitedRequest()->id, 2U);
   EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond - 1, kSecond));
   const auto late = rig.requests.TimeOutAwaited(kSecond, kSecond);
   ASSERT_TRUE(late);
   EXPECT_EQ(late->id, 2U);
-  EXPECT_EQ(rig.requests.Awaited(), nullptr);
+  EXPECT_EQ(rig.requests.AwaitedRequest(), nullptr);
   EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond, kSecond));
   // Its answer is still accepted, and so is that of the older request.
-  EXPECT_TRUE(rig.requests.Take(2));
-  EXPECT_TRUE(rig.requests.Take(1));
+  EXPECT_TRUE(rig.requests.RemoveRequest(2));
+  EXPECT_TRUE(rig.requests.RemoveRequest(1));
 }
 
 // The time limit starts after the time for which the store holds the request.
-TEST(StoreRequestsTest, ARequestThatIsHeldHasItsWaitOnTop) {
+TEST(StoreRequestsTest, TimeLimitStartsAfterTheHoldTime) {
   StoreRig rig;
   rig.requests.SendRequest(0, {false, "", 5, kSecond});
   EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond, kSecond));
--- a/tests/gateway/table_net.h
+++ b/tests/gateway/table_net.h
@@ -31,8 +31,10 @@
   static constexpr DurationUs kTick = 10 * kMillisecond;
   // Time within which a change in the store must take effect.
   static constexpr DurationUs kMaxStaleness = 3 * kSecond;
+  // Limit on `OldestAge` without faults and in a large fleet.
   static constexpr DurationUs kMaxTableAge = 3750 * kMillisecond;
-  // A host that has reached the store for this long must keep the bounds.
+  // After a gateway has been able to reach the store for this long, its copy
+  // must be within the bounds again.
   static constexpr DurationUs kRecoveryBound = 4 * kSecond;
   // By how much the store's clock is behind the gateways' clocks.
   static constexpr DurationUs kStoreClockLag = 77 * kSecond;
@@ -298,7 +300,7 @@
 
   void OnCall(Call call) {
     ++calls_;
-    complete_reads_ += call.request.query.whole ? 1 : 0;
+    complete_reads_ += call.request.query.complete_table ? 1 : 0;
     call.unanswered =
         nodes_[call.from]->store_behavior == StoreBehavior::kNoAnswer;
     open_calls_.push_back(call);
@@ -320,7 +322,7 @@
       return answer;
     }
     const TableQuery& query = call.request.query;
-    if (!query.whole && query.after < history_from_) {
+    if (!query.complete_table && query.after < history_from_) {
       answer.kind = TableAnswer::Kind::kHistoryTruncated;
       return answer;
     }
@@ -328,7 +330,7 @@
     answer.version = version_;
     answer.store_time = now_ - kStoreClockLag;
     for (const auto& [key, row] : rows_) {
-      if (query.whole ? !row.removed : row.version > query.after) {
+      if (query.complete_table ? !row.removed : row.version > query.after) {
         answer.rows.push_back(row);
       }
     }
@@ -341,7 +343,7 @@
       return IsExpired(call);
     }
     const bool has_answer =
-        query.whole || version_ > query.after ||
+        query.complete_table || version_ > query.after ||
         nodes_[call.from]->store_behavior != StoreBehavior::kServes;
     return now_ >= call.sent_at + latency_ &&
            (has_answer || now_ >= call.sent_at + query.wait);
@@ -428,8 +430,9 @@
     return value;
   }
 
-  // Checks the invariants. Values are numbers that grow, so a later value is
-  // valid as well.
+  // Checks that the version of `node` never decreases and that it has every row
+  // as of `known_at` or later. Values only increase, so a node may have a
+  // greater value than required.
   void Check(Node* node) {
     if (node->watch->version() < node->version) {
       violations_.push_back(node->name + " has a lower version than before");
--- a/tests/gateway/table_relay_test.cc
+++ b/tests/gateway/table_relay_test.cc
@@ -7,8 +7,8 @@
 namespace acaciachute {
 namespace {
 
-// Keys may be used until the configuration is this old.
-constexpr DurationUs kKeyAge = 4500 * kMillisecond;
+// Maximum age of the configuration with which keys may be checked.
+constexpr DurationUs kMaxConfigurationAge = 4500 * kMillisecond;
 // Time within which gateways detect that the relay they ask is lost, and ask
 // another one.
 constexpr DurationUs kRelayReplacementTime = kSecond;
@@ -79,13 +79,13 @@
     net.Run(100 * kMillisecond);
     oldest = std::max(oldest, net.OldestAge());
   }
-  EXPECT_LT(oldest, kKeyAge);
+  EXPECT_LT(oldest, kMaxConfigurationAge);
   EXPECT_TRUE(net.AllHold("config", "1"));
   for (const std::size_t it : relays) {
     net.node(it).frozen = false;
   }
   net.Run(5 * kSecond);
-  EXPECT_LT(net.OldestAge(), kKeyAge);
+  EXPECT_LT(net.OldestAge(), kMaxConfigurationAge);
   ExpectNoViolations(net);
 }
 
@@ -105,7 +105,7 @@
       net.Run(100 * kMillisecond);
       oldest = std::max(oldest, net.OldestAge());
     }
-    EXPECT_LT(oldest, kKeyAge);
+    EXPECT_LT(oldest, kMaxConfigurationAge);
     ExpectNoViolations(net);
   }
 }
@@ -121,7 +121,7 @@
   net.Write("config", "1");
   const DurationUs took =
       net.RunUntil([&] { return net.AllHold("config", "1"); }, 10 * kSecond);
-  EXPECT_LE(took, kKeyAge);
+  EXPECT_LE(took, kMaxConfigurationAge);
   ExpectNoViolations(net);
 }
 
@@ -197,7 +197,7 @@
   const std::size_t before = net.calls();
   for (int n = 0; n < 100; ++n) {
     net.Run(70 * kMillisecond);
-    EXPECT_LE(net.OldestAge(), kKeyAge - kRevocation * 3 / 5);
+    EXPECT_LE(net.OldestAge(), kMaxConfigurationAge - kRevocation * 3 / 5);
   }
   EXPECT_LE(net.calls() - before, 7 * 6 * 3U);
   ExpectNoViolations(net);
@@ -233,16 +233,16 @@
     std::vector<TableReply> replies;
   } output;
   TableRelay relay("t", &output);
-  TableRequest whole;
-  whole.table = "t";
-  whole.whole = true;
-  relay.OnTableRequest(kSecond, "a", whole);
+  TableRequest request;
+  request.table = "t";
+  request.complete_table = true;
+  relay.OnTableRequest(kSecond, "a", request);
   relay.OnTable({{"k", "v", 3, false}}, 5);
   relay.OnCurrent(kSecond, 5);
-  whole.after = 9;
-  relay.OnTableRequest(kSecond, "a", whole);
-  whole.after = 5;
-  relay.OnTableRequest(kSecond, "a", whole);
+  request.after = 9;
+  relay.OnTableRequest(kSecond, "a", request);
+  request.after = 5;
+  relay.OnTableRequest(kSecond, "a", request);
   ASSERT_EQ(output.replies.size(), 3U);
   EXPECT_EQ(output.replies[0].answer.kind, TableAnswer::Kind::kFailed);
   EXPECT_EQ(output.replies[1].answer.kind, TableAnswer::Kind::kFailed);
@@ -261,7 +261,7 @@
     net.Run(100 * kMillisecond);
     oldest = std::max(oldest, net.OldestAge());
   }
-  EXPECT_LT(oldest, kKeyAge);
+  EXPECT_LT(oldest, kMaxConfigurationAge);
   net.Write("config", "1");
   EXPECT_LE(
       net.RunUntil([&] { return net.AllHold("config", "1"); }, 5 * kSecond),
@@ -283,7 +283,7 @@
     net.Run(100 * kMillisecond);
     oldest = std::max(oldest, net.OldestAge());
   }
-  EXPECT_LT(oldest, kKeyAge);
+  EXPECT_LT(oldest, kMaxConfigurationAge);
   ExpectNoViolations(net);
 }
 
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -266,7 +266,7 @@
   rig.Reply(history_gone);
   EXPECT_TRUE(rig.answers.empty());
   ASSERT_EQ(rig.store_request_count, 1);
-  EXPECT_FALSE(rig.store_requests.back().query.whole);
+  EXPECT_FALSE(rig.store_requests.back().query.complete_table);
   EXPECT_EQ(rig.store_requests.back().query.after, 5U);
   EXPECT_EQ(rig.store_requests.back().query.wait, 0);
   rig.AnswerFromStore({});
--- a/tests/gateway/table_watch_test.cc
+++ b/tests/gateway/table_watch_test.cc
@@ -61,7 +61,7 @@
   int lost_count = 0;
 };
 
-TEST(TableWatchTest, ReadsTheWholeTableThenItsChanges) {
+TEST(TableWatchTest, ReadsTheCompleteTableThenItsChanges) {
   WatchRig rig;
   rig.Advance(0);
   rig.Answer(5, {{"a", "", 4, false}}, true);
--- a/tests/gateway/transport_test.cc
+++ b/tests/gateway/transport_test.cc
@@ -121,15 +121,17 @@
   return request;
 }
 
-constexpr char kMine[] =
+constexpr char kMatchingAnswer[] =
     "HTTP/1.1 200 OK\r\nAttempt-Id: mine\r\nContent-Length: 2\r\n\r\nok";
-constexpr char kOther[] =
+constexpr char kAnswerToOtherRequest[] =
     "HTTP/1.1 200 OK\r\nAttempt-Id: other\r\nContent-Length: 3\r\n\r\nbad";
 
 TEST(HttpChannelsTest, KeepsAConnectionForTheNextCall) {
   Loop loop;
   RawServer server(&loop);
-  server.on_bytes = [](RawServer::Peer* peer) { peer->stream->Write(kMine); };
+  server.on_bytes = [](RawServer::Peer* peer) {
+    peer->stream->Write(kMatchingAnswer);
+  };
   HttpChannels channels(&loop);
   for (int n = 0; n < 3; ++n) {
     Sink sink;
@@ -148,7 +150,9 @@
 TEST(HttpChannelsTest, OpensAConnectionInPlaceOfAStaleOne) {
   Loop loop;
   RawServer server(&loop);
-  server.on_bytes = [](RawServer::Peer* peer) { peer->stream->Write(kMine); };
+  server.on_bytes = [](RawServer::Peer* peer) {
+    peer->stream->Write(kMatchingAnswer);
+  };
   HttpChannels channels(&loop);
   ChannelOptions fresh;
   fresh.max_idle_time = -1;  // No idle connection is fresh enough.
@@ -165,7 +169,9 @@
 TEST(HttpChannelsTest, KeepsNoMoreConnectionsThanAllowed) {
   Loop loop;
   RawServer server(&loop);
-  server.on_bytes = [](RawServer::Peer* peer) { peer->stream->Write(kMine); };
+  server.on_bytes = [](RawServer::Peer* peer) {
+    peer->stream->Write(kMatchingAnswer);
+  };
   HttpChannels channels(&loop);
   ChannelOptions none;
   none.max_kept = 0;
@@ -182,7 +188,7 @@
   Loop loop;
   RawServer server(&loop);
   server.on_bytes = [](RawServer::Peer* peer) {
-    peer->stream->Write(StrCat(kOther, kMine));
+    peer->stream->Write(StrCat(kAnswerToOtherRequest, kMatchingAnswer));
   };
   HttpChannels channels(&loop);
   Sink sink;
@@ -197,7 +203,7 @@
   Loop loop;
   RawServer server(&loop);
   server.on_bytes = [](RawServer::Peer* peer) {
-    peer->stream->Write(StrCat(kMine, kMine));
+    peer->stream->Write(StrCat(kMatchingAnswer, kMatchingAnswer));
   };
   HttpChannels channels(&loop);
   for (int n = 0; n < 2; ++n) {
@@ -223,8 +229,8 @@
   EXPECT_TRUE(broken.failure->sent);
   Address closed = server.address;
   {
-    RawServer gone(&loop);
-    closed = gone.address;
+    RawServer closed_server(&loop);
+    closed = closed_server.address;
   }
   Sink refused;
   channels.Start(closed, Get(), {}, &refused);
@@ -261,7 +267,9 @@
   };
   Loop loop;
   RawServer server(&loop);
-  server.on_bytes = [](RawServer::Peer* peer) { peer->stream->Write(kMine); };
+  server.on_bytes = [](RawServer::Peer* peer) {
+    peer->stream->Write(kMatchingAnswer);
+  };
   HttpChannels channels(&loop);
   for (int n = 0; n < 2; ++n) {
     Connecting sink;
@@ -294,7 +302,7 @@
     if (!answered) {
       answered = true;
       peer->stream->SetReading(false);
-      peer->stream->Write(kMine);
+      peer->stream->Write(kMatchingAnswer);
     }
   };
   HttpChannels channels(&loop);
@@ -393,14 +401,14 @@
 }
 
 // A deferred task is dropped if its owner was destroyed before.
-TEST(LoopTest, DropsTasksWhoseOwnerIsGone) {
+TEST(LoopTest, DropsTasksOfADestroyedOwner) {
   Loop loop;
   int runs = 0;
   auto owner = std::make_shared<const int>(0);
   loop.AfterIfAlive(owner, 0, [&] { ++runs; });
-  auto gone = std::make_shared<const int>(0);
-  loop.AfterIfAlive(gone, 0, [&] { runs += 10; });
-  gone.reset();
+  auto destroyed_owner = std::make_shared<const int>(0);
+  loop.AfterIfAlive(destroyed_owner, 0, [&] { runs += 10; });
+  destroyed_owner.reset();
   RunUntil(&loop, [&] { return runs > 0; });
   EXPECT_EQ(runs, 1);
 }
@@ -427,7 +435,7 @@
       listener.Reply(id, 200, {}, "ok");
     }
   }
-  void OnGone(ExchangeId id) override { gone = id; }
+  void OnClientDisconnected(ExchangeId id) override { disconnected = id; }
   void OnWritten(ExchangeId) override {}
   void OnListenerEvent(const ListenerEvent& event) override {
     events.push_back(StrCat(event.what, " ", event.status));
@@ -443,7 +451,7 @@
   std::vector<std::string> events;
   std::string received;
   ExchangeId last = 0;
-  ExchangeId gone = 0;
+  ExchangeId disconnected = 0;
   bool answer_at_once = true;
   bool ended = false;
 };
@@ -482,8 +490,8 @@
   rig.client->Write("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
   RunUntil(&rig.loop, [&] { return rig.last != 0; });
   rig.client->Close();
-  RunUntil(&rig.loop, [&] { return rig.gone != 0; });
-  EXPECT_EQ(rig.gone, rig.last);
+  RunUntil(&rig.loop, [&] { return rig.disconnected != 0; });
+  EXPECT_EQ(rig.disconnected, rig.last);
 }
 
 // An aborted stream has no last chunk, so that the client cannot mistake it for
@@ -541,7 +549,7 @@
 
 // If the log is not read, writing does not block; dropped lines are counted and
 // reported once the buffer has space again.
-TEST(LogWriterTest, NeverBlocksAndTellsWhatItDropped) {
+TEST(LogWriterTest, NeverBlocksAndReportsDroppedLines) {
   Loop loop;
   std::array<int, 2> ends{};
   ASSERT_EQ(pipe(ends.data()), 0);
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -106,7 +106,9 @@
                      std::string_view body) override {
     bodies[handle] = body;
   }
-  void OnHttpGone(std::uint64_t handle) override { gone.push_back(handle); }
+  void OnHttpDisconnected(std::uint64_t handle) override {
+    gone.push_back(handle);
+  }
 
   std::map<std::uint64_t, std::string> bodies;
   std::vector<std::uint64_t> gone;
--- a/tests/load_decisions_test.cc
+++ b/tests/load_decisions_test.cc
@@ -263,10 +263,10 @@
   int taken = 0;
   for (int n = 0; n < 1000; ++n) {
     budget.OnFirstAttempt();
-    taken += budget.Take() ? 1 : 0;
+    taken += budget.TryUseRetry() ? 1 : 0;
   }
   EXPECT_LE(taken, 1000 * RetryBudget::kTokensPerFirstAttempt +
-                       RetryBudget::kMaxTokens);
+                       RetryBudget::kMaxRetryTokens);
   Random random(1);
   ReplicaTable replicas;
   LoadControl control("entry-1", &replicas, &random);
--- a/tests/load_properties_test.cc
+++ b/tests/load_properties_test.cc
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::array<double, 3> kWeights = {4, 2, 1};
-constexpr double kAllWeights = 7;
+constexpr double kWeightSum = 7;
 
 // The requests admitted to a full pool never exceed the initial credits plus
 // the number of answers, whichever accounts send them and how often.
@@ -54,7 +54,7 @@
       }
     }
     shares.OnAnswer();
-    share_due += kWeights[account] / kAllWeights;
+    share_due += kWeights[account] / kWeightSum;
     if (share_due >= 1) {
       share_due -= 1;
       RC_ASSERT(shares.HasCredit(account, kWeights[account]));
@@ -73,8 +73,7 @@
     shares.Spend(account, kWeights[account], true);
   }
   const double max_answers =
-      std::ceil((FairShare::kMaxDebt + 1) * kAllWeights / kWeights[account]) +
-      1;
+      std::ceil((FairShare::kMaxDebt + 1) * kWeightSum / kWeights[account]) + 1;
   for (int n = 0; n < max_answers; ++n) {
     for (std::size_t other = 0; other < kWeights.size(); ++other) {
       if (other != account && shares.HasCredit(other, kWeights[other])) {
@@ -151,13 +150,13 @@
 void CheckEachRequestEndsOnce() {
   bench::Pattern pattern;
   pattern.load = *rc::gen::inRange(1, 30) / 10.0;
-  pattern.hot = *rc::gen::inRange(1, 10);
-  pattern.slow = *rc::gen::inRange(1, 6);
+  pattern.hot_account_factor = *rc::gen::inRange(1, 10);
+  pattern.one_replica_slowdown = *rc::gen::inRange(1, 6);
   pattern.failing = *rc::gen::arbitrary<bool>();
   pattern.domain_lost = *rc::gen::arbitrary<bool>();
   pattern.report_lag = *rc::gen::inRange(0, 2000) * kMillisecond;
   const auto result =
-      bench::Run(bench::kDeployments[0], pattern, bench::Policy::kReal,
+      bench::Run(bench::kDeployments[0], pattern, bench::Policy::kProduction,
                  *rc::gen::inRange(1, 1000), 13 * kSecond);
   RC_ASSERT(result.unanswered == 0U);
   RC_ASSERT(result.twice == 0U);
--- a/tests/model/fence_model_test.cc
+++ b/tests/model/fence_model_test.cc
@@ -35,7 +35,7 @@
 constexpr int kMaxOrders = 2;
 constexpr int kMaxFaults = 1;
 constexpr std::size_t kMaxStates = 400'000;
-constexpr DurationUs kPause = 10 * kSecond;
+constexpr DurationUs kSidecarPauseDuration = 10 * kSecond;
 
 class FenceWorld : public FenceOutput {
  public:
@@ -205,7 +205,7 @@
                       }});
     steps->push_back({"sidecar is paused", [this] {
                         ++faults_;
-                        now_ += kPause;
+                        now_ += kSidecarPauseDuration;
                         history_ += "pause,";
                       }});
     for (std::size_t n = 0; n < network_.size(); ++n) {
--- a/tests/model/settings_model_test.cc
+++ b/tests/model/settings_model_test.cc
@@ -332,8 +332,8 @@
   EXPECT_NE(ExploreSettings(Mutation::kNonceUncompared).violation, "");
 }
 
-// Without its own comparison, a node applies an answer that is older than its
-// settings.
+// A node that does not compare versions itself applies an answer that is older
+// than its settings.
 TEST(SettingsModelTest, FindsTheNodeThatGoesBack) {
   EXPECT_NE(ExploreSettings(Mutation::kNodeVersionUncompared).violation, "");
 }
--- a/tests/pairs_test.cc
+++ b/tests/pairs_test.cc
@@ -209,9 +209,9 @@
 }
 
 // A request crashes each upstream that runs it, and the entry that sent it is
-// killed at some moment, with what it knows of the crash; its caller goes to
-// the next entry. The pool of nine loses few replicas, whenever the entry is
-// killed, and the last resent request is refused with its reason.
+// killed at a varying time, and its records of the crash are lost; the caller
+// resends to the next entry. The pool of nine loses few replicas, whenever the
+// entry is killed, and the last resent request is refused with its reason.
 TEST(PairsTest, CrashingRequestAndFailover) {
   constexpr int kPoolEntries = 4;
   constexpr int kSends = 12;
--- a/tests/process/gateway_test.cc
+++ b/tests/process/gateway_test.cc
@@ -57,7 +57,7 @@
       listener_.Reply(id, 200, fields, "answer");
     });
   }
-  void OnGone(ExchangeId) override {}
+  void OnClientDisconnected(ExchangeId) override {}
   void OnWritten(ExchangeId) override {}
   void OnListenerEvent(const ListenerEvent&) override {}
 
--- a/tests/process/rolling_test.cc
+++ b/tests/process/rolling_test.cc
@@ -107,7 +107,7 @@
 
 bool AnsweredCompletely(const SentRequest& it) {
   const HttpResult& result = it.call->result;
-  return result.status == 200 && result.whole &&
+  return result.status == 200 && result.complete &&
          (!it.stream || Contains(result.body, "event: end"));
 }
 
--- a/tests/soak/ledger.cc
+++ b/tests/soak/ledger.cc
@@ -41,7 +41,7 @@
 void Ledger::OnEnded(TimeUs now,
                      const std::string& id,
                      int status,
-                     bool whole) {
+                     bool answer_complete) {
   LedgerEntry& entry = entries_.at(id);
   if (entry.ended) {
     OnViolation("ended twice", id);
@@ -50,7 +50,7 @@
   entry.ended = true;
   entry.ended_at = now;
   entry.status = status;
-  entry.whole = whole;
+  entry.answer_complete = answer_complete;
   --open_;
 }
 
@@ -82,7 +82,7 @@
   for (const auto& [id, it] : entries_) {
     const std::string end = !it.ended        ? "open"
                             : it.status == 0 ? "cut"
-                            : it.status == 200 && !it.whole
+                            : it.status == 200 && !it.answer_complete
                                 ? "cut during the answer"
                                 : StrCat(it.status);
     ++out[it.route][end];
--- a/tests/soak/ledger.h
+++ b/tests/soak/ledger.h
@@ -24,7 +24,7 @@
   bool ended = false;  // The client has its answer or lost its connection.
   TimeUs ended_at = 0;
   int status = 0;  // HTTP status; zero: the connection ended without answer.
-  bool whole = false;  // The answer was complete.
+  bool answer_complete = false;  // The answer was complete.
 };
 
 // All attempts of a soak, by attempt id.
@@ -34,7 +34,10 @@
   // A replica starts to run the attempt, for `account`.
   void OnRun(const std::string& id, const std::string& account);
   // The client received its answer, or its connection broke.
-  void OnEnded(TimeUs now, const std::string& id, int status, bool whole);
+  void OnEnded(TimeUs now,
+               const std::string& id,
+               int status,
+               bool answer_complete);
   // A client or replica observed a violation.
   void OnViolation(const std::string& violation, const std::string& id);
 
--- a/tests/soak/soak.cc
+++ b/tests/soak/soak.cc
@@ -186,8 +186,8 @@
   void LoseAnswers() { DrawReplica()->LoseNextAnswers(3); }
   void SlowReplica() {
     StandinReplica* replica = DrawReplica();
-    replica->SetSlowness(6);
-    AfterFaultDuration([replica] { replica->SetSlowness(1); });
+    replica->SetSlowdownFactor(6);
+    AfterFaultDuration([replica] { replica->SetSlowdownFactor(1); });
   }
 
   // Ends all faults that still last, so that failures after it are faults of
@@ -201,7 +201,7 @@
       it->Restore();
     }
     for (auto& it : world_.replicas()) {
-      it->SetSlowness(1);
+      it->SetSlowdownFactor(1);
       it->LoseNextAnswers(0);
     }
   }
--- a/tests/soak/standin_replica.cc
+++ b/tests/soak/standin_replica.cc
@@ -47,7 +47,7 @@
 }
 
 void StandinReplica::After(DurationUs delay, std::function<void()> task) {
-  RunAfter(loop_, slowness_ * delay, alive_, std::move(task));
+  RunAfter(loop_, slowdown_factor_ * delay, alive_, std::move(task));
 }
 
 void StandinReplica::Crash(std::string id) {
--- a/tests/soak/standin_replica.h
+++ b/tests/soak/standin_replica.h
@@ -36,7 +36,7 @@
   // Sets faults: the next `n` answers are lost after their runs; all work takes
   // `factor` times as long.
   void LoseNextAnswers(int n) { answers_to_lose_ = n; }
-  void SetSlowness(int factor) { slowness_ = factor; }
+  void SetSlowdownFactor(int factor) { slowdown_factor_ = factor; }
   // Simulates a crash and restart: breaks every connection, drops all work, and
   // continues as the incarnation `id`.
   void Crash(std::string id);
@@ -47,7 +47,7 @@
   void OnRequest(ExchangeId id,
                  HttpRequestHead head,
                  std::string body) override;
-  void OnGone(ExchangeId id) override { open_.erase(id); }
+  void OnClientDisconnected(ExchangeId id) override { open_.erase(id); }
   void OnWritten(ExchangeId) override {}
   void OnListenerEvent(const ListenerEvent&) override {}
 
@@ -74,7 +74,7 @@
   std::deque<StageCall> calls_;
   int next_result_ = 0;
   int answers_to_lose_ = 0;
-  int slowness_ = 1;
+  int slowdown_factor_ = 1;
   bool busy_ = false;
   std::shared_ptr<int> alive_ = std::make_shared<int>();
 };
--- a/tests/soak/standin_store.h
+++ b/tests/soak/standin_store.h
@@ -46,7 +46,7 @@
   void OnRequest(ExchangeId id,
                  HttpRequestHead head,
                  std::string body) override;
-  void OnGone(ExchangeId id) override { feeds_.erase(id); }
+  void OnClientDisconnected(ExchangeId id) override { feeds_.erase(id); }
   void OnWritten(ExchangeId) override {}
   void OnListenerEvent(const ListenerEvent&) override {}
 
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -100,8 +100,8 @@
   }
 
  private:
-  void End(CallId call, int status, bool whole) {
-    world_->ledger_.OnEnded(Loop::Now(), id_, status, whole);
+  void End(CallId call, int status, bool answer_complete) {
+    world_->ledger_.OnEnded(Loop::Now(), id_, status, answer_complete);
     world_->clients_.erase(call);  // Deletes `this`.
   }
 
--- a/tests/standins/platform.cc
+++ b/tests/standins/platform.cc
@@ -74,7 +74,7 @@
     }
     Serve(handle, method, path, text);
   }
-  void OnHttpGone(std::uint64_t handle) override {}
+  void OnHttpDisconnected(std::uint64_t handle) override {}
 
  private:
   void Reply(std::uint64_t handle, int status, const Json& json) {
--- a/tests/standins/upstream.cc
+++ b/tests/standins/upstream.cc
@@ -96,7 +96,7 @@
       Reply(handle, 404, {{"error", "no such path"}});
     }
   }
-  void OnHttpGone(std::uint64_t handle) override { DropCall(handle); }
+  void OnHttpDisconnected(std::uint64_t handle) override { DropCall(handle); }
 
  private:
   void Reply(std::uint64_t handle, int status, const Json& json) {
--- a/tests/trace_replay_test.cc
+++ b/tests/trace_replay_test.cc
@@ -216,7 +216,7 @@
     }
   }
   void Answer(CallerHandle handle, const CallerAnswer& answer) override {
-    actions.push_back(StrCat("told ", handle, " ", Name(answer.verdict), " ",
+    actions.push_back(StrCat("answer ", handle, " ", Name(answer.verdict), " ",
                              Name(answer.reason)));
   }
   void Stream(CallerHandle handle, std::string_view part) override {}
