--- a/src/coordination/choice/engine_choice.cc
+++ b/src/coordination/choice/engine_choice.cc
@@ -16,9 +16,11 @@
 }  // namespace
 
 EngineChoice::EngineChoice(const ReplicaDirectory* directory,
-                           ColdReplicaLimiter* cold,
+                           ColdReplicaLimiter* cold_replica_limiter,
                            Random* random)
-    : directory_(directory), cold_(cold), random_(random) {}
+    : directory_(directory),
+      cold_replica_limiter_(cold_replica_limiter),
+      random_(random) {}
 
 // Counts the first part that the engine does not cache and all parts after it,
 // plus the prompt tokens that no part lists.
@@ -119,7 +121,7 @@
   const Homes homes = HomesOf(service, request);
   for (const ReplicaEntry* it : directory_->Of(service)) {
     if (std::find(tried.begin(), tried.end(), it->id) != tried.end() ||
-        !cold_->MaySend(now, *it)) {
+        !cold_replica_limiter_->MaySend(now, *it)) {
       continue;
     }
     const Engine& engine = engines_[it->id];
--- a/src/coordination/choice/engine_choice.h
+++ b/src/coordination/choice/engine_choice.h
@@ -77,7 +77,7 @@
   static constexpr std::size_t kMaxPartsPerEngine = 4096;
 
   EngineChoice(const ReplicaDirectory* directory,
-               ColdReplicaLimiter* cold,
+               ColdReplicaLimiter* cold_replica_limiter,
                Random* random);
 
   // Returns null if no engine outside `tried` accepts work.
@@ -145,7 +145,7 @@
   EngineLoad LoadOf(const ReplicaId& replica) const;
 
   const ReplicaDirectory* const directory_;
-  ColdReplicaLimiter* const cold_;
+  ColdReplicaLimiter* const cold_replica_limiter_;
   Random* const random_;
   absl::flat_hash_map<ReplicaId, Engine> engines_;
   std::map<ReplicaId, EngineLoad> own_loads_;
--- a/src/coordination/choice/plain_choice.cc
+++ b/src/coordination/choice/plain_choice.cc
@@ -6,9 +6,11 @@
 namespace acaciachute {
 
 PlainChoice::PlainChoice(const ReplicaDirectory* directory,
-                         ColdReplicaLimiter* cold,
+                         ColdReplicaLimiter* cold_replica_limiter,
                          Random* random)
-    : directory_(directory), cold_(cold), random_(random) {}
+    : directory_(directory),
+      cold_replica_limiter_(cold_replica_limiter),
+      random_(random) {}
 
 double PlainChoice::Score(TimeUs now,
                           const ReplicaEntry& replica,
@@ -47,7 +49,7 @@
   double best_score = 0;
   for (const ReplicaEntry* it : directory_->Of(service)) {
     if (std::find(tried.begin(), tried.end(), it->id) != tried.end() ||
-        !cold_->MaySend(now, *it)) {
+        !cold_replica_limiter_->MaySend(now, *it)) {
       continue;
     }
     ReplicaHealth& health = states_[it->id].health;
--- a/src/coordination/gateway/gateway.cc
+++ b/src/coordination/gateway/gateway.cc
@@ -23,7 +23,7 @@
       log(log_in),
       cold_replica_limiter(options.node),
       engines(directory_in, &cold_replica_limiter, random_in) {
-  cold_replica_limiter.SetRateLimit(options.cold,
+  cold_replica_limiter.SetRateLimit(options.cold_rate_bound,
                                     options.replica_heartbeat_period);
 }
 
@@ -193,7 +193,7 @@
 
 void Gateway::SetOptions(const GatewayOptions& options) {
   impl_->options = options;
-  impl_->cold_replica_limiter.SetRateLimit(options.cold,
+  impl_->cold_replica_limiter.SetRateLimit(options.cold_rate_bound,
                                            options.replica_heartbeat_period);
   if (impl_->config != nullptr) {
     impl_->cold_replica_limiter.SetServices(*impl_->config);
--- a/src/coordination/gateway/gateway.h
+++ b/src/coordination/gateway/gateway.h
@@ -96,7 +96,7 @@
   // beyond it, API keys are not accepted.
   DurationUs key_age = 4 * kSecond;
   ServiceRetryBudgetLimits budget;
-  ColdRateBound cold;
+  ColdRateBound cold_rate_bound;
   // Period at which a replica rewrites its row.
   DurationUs replica_heartbeat_period = 1200 * kMillisecond;
   bool operator==(const GatewayOptions&) const = default;
--- a/src/coordination/gateway/gateway_attempt.cc
+++ b/src/coordination/gateway/gateway_attempt.cc
@@ -322,7 +322,7 @@
       attempt.head && (attempt.head->not_run || attempt.head->other_replica);
   if (!sent && !request->attempt.arrival_reported) {
     request->attempt.arrival_reported = true;
-    cold.OnNotSent(attempt.replica);
+    cold_replica_limiter.OnNotSent(attempt.replica);
   }
   EndAttempt(request);
   if (!sent || said_not_run) {
@@ -356,7 +356,7 @@
   Attempt& attempt = request->attempt;
   if (!attempt.arrival_reported) {
     attempt.arrival_reported = true;
-    cold.OnArrived(output->Now(), attempt.replica);
+    cold_replica_limiter.OnArrived(output->Now(), attempt.replica);
   }
 }
 
--- a/src/coordination/interface/claims.cc
+++ b/src/coordination/interface/claims.cc
@@ -249,7 +249,8 @@
   by_request[subject.id] = row.key;
   row.waiters.push_back(subject.id);
   events->OnClaimHeldElsewhere(now, subject.id);
-  // Whichever of the two ends first, the other may still run.
+  // Neither copy may be answered "not run": whichever of the two ends first,
+  // the other may still run.
   if (row.phase == Phase::kClaiming) {
     events->OnClaimHeldElsewhere(now, *row.owner);
   }
--- a/src/coordination/stages/shared_piece_dispatcher.h
+++ b/src/coordination/stages/shared_piece_dispatcher.h
@@ -53,7 +53,7 @@
   // `kMemoryShortageShare` of its memory for results.
   bool ShortOfMemory(const std::vector<std::string>& handles) const;
   // Share of the result memory in use above which memory counts as short. Up to
-  // it, each replica has free memory for as many results again as it holds.
+  // it, at least as much memory is free as results occupy.
   static constexpr double kMemoryShortageShare = 0.5;
 
   // Result of a piece that this gateway's batchers ran or failed to run.
--- a/src/daemon/gateway_node.cc
+++ b/src/daemon/gateway_node.cc
@@ -74,7 +74,7 @@
   options.key_age = static_cast<DurationUs>(
       kKeyAgeShare * static_cast<double>(settings.key_revocation));
   options.budget = settings.retries;
-  options.cold = settings.cold;
+  options.cold_rate_bound = settings.cold_rate_bound;
   options.replica_heartbeat_period = settings.replica_heartbeat_period;
   return options;
 }
@@ -243,14 +243,14 @@
   log.Write("settings", {{"key_age_ms", after.key_age / kMillisecond},
                          {"retry_ratio", after.budget.ratio},
                          {"retry_slack", after.budget.slack},
-                         {"cold_over", after.cold.factor},
-                         {"cold_slack", after.cold.slack},
+                         {"cold_over", after.cold_rate_bound.factor},
+                         {"cold_slack", after.cold_rate_bound.slack},
                          {"drain_ms", reloaded->freshness.drain / kMillisecond},
                          {"config_apply_ms",
                           reloaded->freshness.config_apply / kMillisecond}});
   settings.key_revocation = reloaded->key_revocation;
   settings.retries = reloaded->retries;
-  settings.cold = reloaded->cold;
+  settings.cold_rate_bound = reloaded->cold_rate_bound;
   settings.replica_heartbeat_period = reloaded->replica_heartbeat_period;
   settings.freshness = reloaded->freshness;
   ApplyBounds();
--- a/src/state/host_settings.h
+++ b/src/state/host_settings.h
@@ -57,7 +57,7 @@
   FreshnessBounds freshness;
   DurationUs grace = 8 * kSecond;  // Time between SIGTERM and SIGKILL.
   ServiceRetryBudgetLimits retries;
-  ColdRateBound cold;
+  ColdRateBound cold_rate_bound;
   // Period with which each replica writes its row to the store.
   DurationUs replica_heartbeat_period = 1200 * kMillisecond;
 };
--- a/src/state/replica_directory.cc
+++ b/src/state/replica_directory.cc
@@ -180,7 +180,7 @@
   if (now >= next_ended_cleanup_at_) {
     next_ended_cleanup_at_ = now + kSecond;
     std::erase_if(ended_, [now](const auto& it) {
-      return now - it.second.at > kEndedRetention;
+      return now - it.second.removed_at > kEndedRetention;
     });
   }
   if (retained_.empty() || store_lost_ || now < retain_until_) {
--- a/src/state/replica_directory.h
+++ b/src/state/replica_directory.h
@@ -189,13 +189,13 @@
     Incarnation incarnation = 0;
     // Final: an older row does not revert it.
     bool announced_leaving = false;
-    TimeUs at = 0;  // When the incarnation's entry was removed.
+    TimeUs removed_at = 0;  // When the incarnation's entry was removed.
   };
   using Rows = absl::node_hash_map<std::string, Row>;
 
   // Compares a row with the last ended incarnation of its name. Returns true if
   // `entry` is of an earlier incarnation. Marks `entry` as leaving if it is of
-  // that ended incarnation and the replica had announced that it leaves.
+  // that ended incarnation and that incarnation had announced that it leaves.
   bool ApplyEnded(ReplicaEntry* entry) const;
   // Inserts or replaces the entry of that name.
   void Insert(const ReplicaEntry& entry);
--- a/src/transport/http_server.cc
+++ b/src/transport/http_server.cc
@@ -224,8 +224,8 @@
 }
 
 // Shuts the socket down and unpauses the message, so that libsoup notices the
-// broken connection and ends the message. For the handler
-// the exchange ends at once.
+// broken connection and ends the message. For the handler, the exchange ends at
+// once.
 void HttpServer::Impl::OnHangUp(SoupServerMessage* message) {
   HttpExchange* exchange = Find(message);
   if (exchange == nullptr || exchange->complete) {
--- a/tests/differential_test.cc
+++ b/tests/differential_test.cc
@@ -22,7 +22,7 @@
 constexpr int kReplicas = 2;
 constexpr int kSchedules = 2000;
 constexpr DurationUs kDeadline = 800 * kMillisecond;
-constexpr DurationUs kOneWay = 1500;
+constexpr DurationUs kOneWayDelay = 1500;
 // Duration of each step of a schedule.
 constexpr DurationUs kStepTime = 20 * kMillisecond;
 
@@ -77,11 +77,11 @@
     case 1:
       return {};
     case 2:
-      return {{kOneWay, 30 * kMillisecond}};
+      return {{kOneWayDelay, 30 * kMillisecond}};
     case 3:
       return {{150 * kMillisecond}};
     default:
-      return {{kOneWay}};
+      return {{kOneWayDelay}};
   }
 }
 
@@ -140,7 +140,7 @@
       : schedule_(schedule), system_(Options()) {
     system_.network = [this](const NodeId&, const NodeId&, const Message& it) {
       if (std::holds_alternative<Heartbeat>(it) || schedule_.network.empty()) {
-        return Fate{{kOneWay}};
+        return Fate{{kOneWayDelay}};
       }
       return FateOf(schedule_.network[messages_++ % schedule_.network.size()]);
     };
--- a/tests/gateway/choices_test.cc
+++ b/tests/gateway/choices_test.cc
@@ -25,7 +25,7 @@
   }
   void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
   ReplicaDirectory directory{this};
-  ColdReplicaLimiter cold{"g1"};
+  ColdReplicaLimiter cold_replica_limiter{"g1"};
   Random random{11};
 };
 
@@ -45,8 +45,10 @@
       {"sys", 500}, {"doc", 4000}, {"q1", 90}};
   const std::vector<PromptPart> second = {
       {"sys", 500}, {"doc", 4000}, {"q2", 90}};
-  EngineChoice here(&fleet.directory, &fleet.cold, &fleet.random);
-  EngineChoice there(&fleet.directory, &fleet.cold, &fleet.random);
+  EngineChoice here(&fleet.directory, &fleet.cold_replica_limiter,
+                    &fleet.random);
+  EngineChoice there(&fleet.directory, &fleet.cold_replica_limiter,
+                     &fleet.random);
   const auto* a = here.Choose(0, "s", Prompt(&first), {}, false);
   const auto* b = there.Choose(0, "s", Prompt(&second), {}, false);
   EXPECT_EQ(a->id, b->id);
@@ -56,7 +58,8 @@
 // cost more than reading the shared parts again, other engines serve it too.
 TEST(EngineChoiceTest, SpreadsAHotSession) {
   Fleet fleet(9);
-  EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
+  EngineChoice choice(&fleet.directory, &fleet.cold_replica_limiter,
+                      &fleet.random);
   const std::vector<PromptPart> prompt = {
       {"sys", 500}, {"doc", 4000}, {"q", 3000}};
   std::set<ReplicaId> used;
@@ -76,18 +79,21 @@
   Fleet fleet(9);
   const std::vector<PromptPart> prompt = {
       {"sys", 500}, {"doc", 4000}, {"q", 3000}};
-  EngineChoice first(&fleet.directory, &fleet.cold, &fleet.random);
+  EngineChoice first(&fleet.directory, &fleet.cold_replica_limiter,
+                     &fleet.random);
   const ReplicaId home = first.Choose(0, "s", Prompt(&prompt), {}, false)->id;
   std::set<ReplicaId> used;
   for (int n = 0; n < 100; ++n) {
-    EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
+    EngineChoice choice(&fleet.directory, &fleet.cold_replica_limiter,
+                        &fleet.random);
     choice.SetPeerLoads("other", {{home, {8, 90'000}}});
     used.insert(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id);
   }
   ASSERT_EQ(used.size(), 1U);
   const ReplicaId second = *used.begin();
   EXPECT_NE(second, home);
-  EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
+  EngineChoice choice(&fleet.directory, &fleet.cold_replica_limiter,
+                      &fleet.random);
   choice.SetPeerLoads("other", {{home, {8, 90'000}}, {second, {4, 30'000}}});
   EXPECT_NE(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id, second);
 }
@@ -97,7 +103,8 @@
 // prompts there cost more than fetching the results from another domain.
 TEST(EngineChoiceTest, PrefersTheDomainOfLargeResults) {
   Fleet fleet(4);
-  EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
+  EngineChoice choice(&fleet.directory, &fleet.cold_replica_limiter,
+                      &fleet.random);
   const std::vector<PromptPart> prompt = {{"q", 1000}};
   EngineRequest request = Prompt(&prompt);
   request.near_domain = "b";
@@ -110,7 +117,8 @@
 // Load reported by other gateways counts like this gateway's own.
 TEST(EngineChoiceTest, CountsTheWorkOfOthers) {
   Fleet fleet(2);
-  EngineChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
+  EngineChoice choice(&fleet.directory, &fleet.cold_replica_limiter,
+                      &fleet.random);
   choice.SetPeerLoads("other", {{"r0", {5, 900000}}});
   const std::vector<PromptPart> prompt = {{"q", 1000}};
   EXPECT_EQ(choice.Choose(0, "s", Prompt(&prompt), {}, false)->id, "r1");
@@ -122,7 +130,8 @@
 // It gets little more than the calls that detect its recovery.
 TEST(PlainChoiceTest, AvoidsASlowReplica) {
   Fleet fleet(4);
-  PlainChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
+  PlainChoice choice(&fleet.directory, &fleet.cold_replica_limiter,
+                     &fleet.random);
   TimeUs now = 1000 * kSecond;
   int slow = 0;
   for (int n = 0; n < 400; ++n) {
@@ -142,7 +151,8 @@
 // call in progress keeps other calls away from it.
 TEST(PlainChoiceTest, AvoidsAnUnresponsiveReplica) {
   Fleet fleet(2);
-  PlainChoice choice(&fleet.directory, &fleet.cold, &fleet.random);
+  PlainChoice choice(&fleet.directory, &fleet.cold_replica_limiter,
+                     &fleet.random);
   const TimeUs now = 1000 * kSecond;
   choice.OnSent(now - 500 * kMillisecond, "r0");
   for (int n = 0; n < 20; ++n) {
@@ -152,19 +162,19 @@
 
 // Every call fails. The retries of all gateways together stay within the
 // allowance, for any number of gateways.
-TEST(ServiceRetryBudgetTest, KeepsTheSumOverEntries) {
-  constexpr int kEntries = 5;
+TEST(ServiceRetryBudgetTest, KeepsTheSumOverGateways) {
+  constexpr int kGateways = 5;
   const ServiceRetryBudgetLimits limits = {0.2, 56, 10 * kSecond};
-  std::vector<ServiceRetryBudget> budgets(kEntries);
+  std::vector<ServiceRetryBudget> budgets(kGateways);
   for (auto& it : budgets) {
     it.SetLimits(limits);
-    it.SetGatewayCount(kEntries);
+    it.SetGatewayCount(kGateways);
   }
   int repeats = 0;
   int requests = 0;
   for (int n = 0; n < 1000; ++n) {
     const TimeUs now = n * 10 * kMillisecond;
-    ServiceRetryBudget& it = budgets[static_cast<std::size_t>(n) % kEntries];
+    ServiceRetryBudget& it = budgets[static_cast<std::size_t>(n) % kGateways];
     it.OnRequest(now);
     ++requests;
     repeats += it.TryUseRetries(now) ? 1 : 0;
--- a/tests/gateway/evacuation_test.cc
+++ b/tests/gateway/evacuation_test.cc
@@ -146,8 +146,8 @@
   EXPECT_TRUE(rig.log.Saw("evacuation_passed_over"));
 }
 
-// The store has lost its history of changes while one order was removed and
-// another one added. Reading the complete table applies both.
+// The store has lost its history of changes, in which one evacuation ended and
+// another one began. Reading the complete table applies both.
 TEST(EvacuationTest, FollowsAWholeTable) {
   EvacuationRig rig;
   rig.AddReplica("r1", "app", "a");
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -49,7 +49,7 @@
 
 // The first replica is full and answers that it did not run the request, so
 // another replica may run it.
-TEST(GatewayTest, SendsElsewhereWhenTheReplicaSaysThatItDidNotRun) {
+TEST(GatewayTest, RetriesElsewhereWhenTheReplicaReportsThatItDidNotRun) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
   rig.AddReplica("r2", "app");
@@ -224,7 +224,7 @@
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
 
-TEST(GatewayStreamTest, PassesWholeEventsOnAsTheyArrive) {
+TEST(GatewayStreamTest, PassesCompleteEventsOnAsTheyArrive) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("stream");
@@ -405,8 +405,9 @@
   EXPECT_EQ(rig.tasks.size(), 1U);
 }
 
-// If the burst lasts longer than expected, a parked request is refused as not
-// run as soon as it is too late to start it, not only at its deadline.
+// If the burst lasts longer than expected, a parked request is refused, with
+// the verdict that it did not run, as soon as it is too late to start it and
+// not only at its deadline.
 TEST(GatewayStagesTest, RefusesAParkedRequestOnceItIsTooLateToBegin) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -423,7 +424,7 @@
 }
 
 // If a client disconnects, its parked request is removed.
-TEST(GatewayStagesTest, ForgetsAParkedRequestWhoseClientLeft) {
+TEST(GatewayStagesTest, RemovesAParkedRequestWhoseClientDisconnected) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.wait.in_time.fill(3 * kSecond);
@@ -435,8 +436,9 @@
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
 
-// During shutdown, clients on persistent connections are refused streams as not
-// run, because a stream could outlast the process and be cut off.
+// During shutdown, streams requested on persistent connections are refused,
+// with the verdict that they did not run, because a stream could outlast the
+// process and be cut off.
 TEST(GatewayDrainTest, RefusesStreamsThatWouldOutlastTheProcess) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
--- a/tests/gateway/http1_test.cc
+++ b/tests/gateway/http1_test.cc
@@ -19,7 +19,7 @@
 // Guards against request smuggling: a client hides a request in the body of
 // another one, and an upstream runs it as another client's. Ambiguous heads get
 // 400.
-TEST(HttpRequestReaderTest, RefusesWhatIsAmbiguous) {
+TEST(HttpRequestReaderTest, RefusesAmbiguousHeads) {
   const RawRequest table[] = {
       {"two lengths",
        "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
--- a/tests/gateway/peer_fleet_test.cc
+++ b/tests/gateway/peer_fleet_test.cc
@@ -42,8 +42,8 @@
   }
 }
 
-// Some heartbeats are lost. Probes show that their senders are alive: with six
-// million heartbeats per minute, no gateway is taken for dead within 30 s.
+// Some heartbeats are lost. Probes show that their senders are alive, and in 30
+// s no gateway is taken for dead.
 TEST(PeerFleetTest, LostHeartbeatsAreNoLostGateways) {
   Random random(7);
   PeerNet net(103, 18);
--- a/tests/gateway/replica_directory_test.cc
+++ b/tests/gateway/replica_directory_test.cc
@@ -135,7 +135,7 @@
 // Another writer overwrites a replica's row with one that cannot be parsed. The
 // replica gets no new work but stays listed, and it gets work again after its
 // own next row.
-TEST(ReplicaDirectoryTest, SendsNothingNewToAnEntryThatCannotBeRead) {
+TEST(ReplicaDirectoryTest, SendsNoNewRequestsToAnEntryWithAnUnreadableRow) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry({"r", 5}));
   rig.directory.PutUnreadable("r");
@@ -149,8 +149,8 @@
                                                    "r readable"}));
 }
 
-// In a service whose replicas state their start, an entry without a start must
-// be from another writer and is not used, whichever row is read first.
+// In a service whose replicas state their incarnation, an entry without one
+// must be from another writer and is not used, whichever row is read first.
 TEST(ReplicaDirectoryTest, IgnoresEntriesWithoutAnIncarnationIfOthersStateOne) {
   DirectoryRig rig;
   rig.directory.Put(DirectoryRig::Entry("foreign"));
--- a/tests/gateway/shared_piece_dispatcher_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -263,7 +263,7 @@
 }
 
 // Pieces of a gateway that crashed are cancelled.
-TEST(SharedPieceDispatcherTest, ForgetsTheRequestsOfALostGateway) {
+TEST(SharedPieceDispatcherTest, CancelsThePiecesOfALostGateway) {
   DispatcherNet net(2);
   auto& owner = net.At(net.owner);
   net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
@@ -272,7 +272,7 @@
   EXPECT_TRUE(owner.dispatcher.HasNoPeerRequests());
 }
 
-TEST(GatewayPeersTest, TakesASilentOrRestartedGatewayForLost) {
+TEST(GatewayPeersTest, DetectsUnresponsiveAndRestartedGateways) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   const TimeUs now = 100 * kSecond;
--- a/tests/gateway/table_net.h
+++ b/tests/gateway/table_net.h
@@ -31,7 +31,7 @@
   static constexpr DurationUs kTick = 10 * kMillisecond;
   // Time within which a change in the store must take effect.
   static constexpr DurationUs kMaxStaleness = 3 * kSecond;
-  // Limit on `OldestAge` without faults and in a large fleet.
+  // Limit on `OldestAge` without faults, and some seconds after they ended.
   static constexpr DurationUs kMaxTableAge = 3750 * kMillisecond;
   // After a gateway has been able to reach the store for this long, its copy
   // must be within the bounds again.
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -169,7 +169,7 @@
   EXPECT_FALSE(rig.answers[0].known_after);
 }
 
-// The relay answers in time but its data become old: it does not reach the
+// The relay answers in time but its table becomes old: it does not reach the
 // store and has not noticed.
 TEST(TableSourceTest, ReplacesARelayWhoseDataAreOld) {
   SourceRig rig;
--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -142,7 +142,7 @@
   return limits;
 }
 
-TEST_F(HttpServerTest, WholeRequestIsAnsweredAndTheConnectionKept) {
+TEST_F(HttpServerTest, CompleteRequestIsAnsweredAndTheConnectionKept) {
   Listen({});
   RawCaller caller(server_->port());
   for (std::size_t n = 1; n <= 2; ++n) {
--- a/tests/log_explain_test.cc
+++ b/tests/log_explain_test.cc
@@ -44,7 +44,7 @@
 // A request reached a replica that had left. The lines distinguish the possible
 // causes: an old list of replicas, an entry that was kept during an outage, and
 // a long time between the choice of the replica and the connection to it.
-TEST(LogExplainTest, TellsHowOldTheListWasAndHowLongTheRequestTookToLeave) {
+TEST(LogExplainTest, ReportsTheAgeOfTheListAndTheTimeToConnect) {
   std::istringstream log(kLog);
   const LogExplanation found = ExplainFromLog(&log, "dd");
   ASSERT_EQ(found.request.size(), 1U);
@@ -55,7 +55,7 @@
               HasSubstr("kept_in_outage, the previous list was 2628 ms old"));
 }
 
-TEST(LogExplainTest, SaysWhenNoLineTells) {
+TEST(LogExplainTest, ReportsThatNoLineConcernsTheRequest) {
   std::istringstream log(kLog);
   EXPECT_FALSE(ExplainFromLog(&log, "cc").found());
 }
--- a/tests/log_sources_test.cc
+++ b/tests/log_sources_test.cc
@@ -20,7 +20,7 @@
 {"at_us":6,"node":"c","event":"table_source","table":"op","source":"b","before":"a","why":"no answer in time","age_ms":900}
 {"at_us":7,"node":"c","event":"table_)";
 
-TEST(LogSourcesTest, TellsTheLastSourceOfEachGatewayThatRuns) {
+TEST(LogSourcesTest, ReportsTheLastSourceOfEachRunningGateway) {
   std::istringstream log(kLog);
   const std::vector<GatewaySource> found = SourcesFromLog(&log);
   ASSERT_EQ(found.size(), 3U);
--- a/tests/platform/translation_test.cc
+++ b/tests/platform/translation_test.cc
@@ -244,7 +244,7 @@
 // Guards against a client that sets another account's name, occupies an
 // engine's memory or reads another request's results: fields that only the
 // system may set are not forwarded, nor is the client's key.
-TEST(RequestsTest, PassesOnOnlyWhatIsTheClientsToSet) {
+TEST(RequestsTest, ForwardsOnlyFieldsThatClientsMaySet) {
   const auto call = ReadClientRequest(Head(), "body");
   ASSERT_TRUE(call.ok());
   EXPECT_EQ(call->key, "secret");
