--- a/tests/http_server_test.cc
+++ b/tests/http_server_test.cc
@@ -107,11 +107,11 @@
     bodies[handle] = body;
   }
   void OnHttpDisconnected(std::uint64_t handle) override {
-    gone.push_back(handle);
+    disconnected.push_back(handle);
   }
 
   std::map<std::uint64_t, std::string> bodies;
-  std::vector<std::uint64_t> gone;
+  std::vector<std::uint64_t> disconnected;
 };
 
 class HttpServerTest : public testing::Test {
@@ -154,7 +154,7 @@
     EXPECT_TRUE(WaitFor([&] { return caller.Sees(reply.body); }));
   }
   EXPECT_TRUE(WaitFor([&] { return server_->connections() == 1; }));
-  EXPECT_TRUE(handler_.gone.empty());
+  EXPECT_TRUE(handler_.disconnected.empty());
   // The client disconnects between requests. libsoup alone would keep the file
   // descriptor open for ever.
   caller.HangUp();
@@ -253,11 +253,11 @@
   caller.Send(Post("{}"));
   ASSERT_TRUE(WaitFor([&] { return handler_.bodies.size() == 1; }));
   caller.HangUp();
-  ASSERT_TRUE(WaitFor([&] { return handler_.gone.size() == 1; }));
-  EXPECT_EQ(handler_.gone[0], 1);
+  ASSERT_TRUE(WaitFor([&] { return handler_.disconnected.size() == 1; }));
+  EXPECT_EQ(handler_.disconnected[0], 1);
   server_->Reply(1, {});
   EXPECT_TRUE(WaitFor([&] { return server_->connections() == 0; }));
-  EXPECT_EQ(handler_.gone.size(), 1);
+  EXPECT_EQ(handler_.disconnected.size(), 1);
 }
 
 // The client disconnects in the middle of a streamed answer.
@@ -269,7 +269,7 @@
   server_->StreamPart(1, "data: one\n\n");
   ASSERT_TRUE(WaitFor([&] { return caller.Sees("data: one"); }));
   caller.HangUp();
-  ASSERT_TRUE(WaitFor([&] { return handler_.gone.size() == 1; }));
+  ASSERT_TRUE(WaitFor([&] { return handler_.disconnected.size() == 1; }));
   EXPECT_TRUE(WaitFor([&] { return server_->connections() == 0; }));
 }
 
@@ -283,7 +283,7 @@
   for (int n = 0; n < 20; ++n) {
     g_main_context_iteration(nullptr, FALSE);
   }
-  EXPECT_TRUE(handler_.gone.empty());
+  EXPECT_TRUE(handler_.disconnected.empty());
   server_->Reply(1, {});
   ASSERT_TRUE(WaitFor([&] { return handler_.bodies.size() == 2; }));
   EXPECT_EQ(handler_.bodies[2], "2");
--- a/tests/process/sidecar_test.cc
+++ b/tests/process/sidecar_test.cc
@@ -169,9 +169,9 @@
         &deployment, Json{{"stream_parts", parts}}.dump(), /*stream=*/true);
     EXPECT_FALSE(Contains(result.body, "event: end")) << result.body;
   }
-  const auto whole =
+  const auto complete =
       SendWithFault(&deployment, R"({"stream_parts":4})", /*stream=*/true);
-  EXPECT_TRUE(Contains(whole.body, "event: end")) << whole.body;
+  EXPECT_TRUE(Contains(complete.body, "event: end")) << complete.body;
 }
 
 // Plays a lease holder: a node that sends control orders to a sidecar over the
--- a/tests/standins/upstream.cc
+++ b/tests/standins/upstream.cc
@@ -201,14 +201,15 @@
       AnswerStream(handle, id);
       return;
     }
-    const std::string whole =
-        Json{{"stage", config_.kind},
-             {"by", config_.name},
-             {"input", Json::parse(run.body, nullptr, false)}}
-            .dump();
+    const std::string complete_body = Json{
+        {"stage", config_.kind},
+        {"by", config_.name},
+        {"input", Json::parse(run.body, nullptr,
+                              false)}}.dump();
     if (fault == AnswerFault::kCut) {
       server_.SetHeader(handle, "X-Request-Id", id);
-      server_.StreamPart(handle, whole.substr(0, whole.size() / 2));
+      server_.StreamPart(handle,
+                         complete_body.substr(0, complete_body.size() / 2));
       // Drops the connection only after the part has been sent; dropped at
       // once, it would send nothing.
       loop_->After(kMillisecond, [this, handle] { server_.Drop(handle); });
@@ -216,9 +217,9 @@
     }
     HttpReply reply;
     reply.headers.emplace_back("X-Request-Id", id);
-    reply.body = fault == AnswerFault::kDoubled  ? whole + whole
+    reply.body = fault == AnswerFault::kDoubled  ? complete_body + complete_body
                  : fault == AnswerFault::kNoJson ? "no JSON"
-                                                 : whole;
+                                                 : complete_body;
     server_.Reply(handle, reply);
   }
 
