--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -7,7 +7,7 @@
 namespace acaciachute {
 namespace {
 
-TEST(GatewayTest, PassesAWholeAnswerOn) {
+TEST(GatewayTest, PassesACompleteAnswerOn) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
   const ExchangeId id = rig.Call("plain");
@@ -49,7 +49,7 @@
 
 // The first replica is full and answers that it did not run the request, so
 // another replica may run it.
-TEST(GatewayTest, SendsElsewhereWhenTheReplicaSaysThatItDidNotRun) {
+TEST(GatewayTest, RetriesElsewhereWhenTheReplicaReportsThatItDidNotRun) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
   rig.AddReplica("r2", "app");
@@ -133,8 +133,8 @@
 }
 
 // While the gateway cannot confirm its configuration, a key may have been
-// revoked, so requests with keys are refused as not run. Anonymous routes are
-// served.
+// revoked, so requests with keys are refused with the verdict that they did not
+// run. Anonymous routes are served.
 TEST(GatewayTest, UsesNoKeyUnderAnOldConfiguration) {
   GatewayOptions options;
   options.key_age = 4 * kSecond;
@@ -224,7 +224,7 @@
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
 
-TEST(GatewayStreamTest, PassesWholeEventsOnAsTheyArrive) {
+TEST(GatewayStreamTest, PassesCompleteEventsOnAsTheyArrive) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("stream");
@@ -337,7 +337,7 @@
 // In a burst, results expire while their request waits, and there is no time to
 // make them again. The client is refused at once instead of at its deadline,
 // and no more stage work is done.
-TEST(GatewayStagesTest, RefusesAtOnceWhatHasNoTimeToBeginAgain) {
+TEST(GatewayStagesTest, RefusesARequestWithoutTimeToRestartItsStages) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   const ExchangeId id = rig.Call("staged", "k1", {1, 0});
@@ -379,7 +379,7 @@
 
 // The queue of late requests is long, but that of requests that can be on time
 // is short. A request that can be on time is admitted.
-TEST(GatewayStagesTest, AdmitsWhatCanBeOnTime) {
+TEST(GatewayStagesTest, AdmitsARequestThatCanMeetItsTarget) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.wait.late = 9 * kSecond;
@@ -405,8 +405,9 @@
   EXPECT_EQ(rig.tasks.size(), 1U);
 }
 
-// If the burst lasts longer than expected, a parked request is refused as not
-// run as soon as it is too late to start it, not only at its deadline.
+// If the burst lasts longer than expected, a parked request is refused, with
+// the verdict that it did not run, as soon as it is too late to start it and
+// not only at its deadline.
 TEST(GatewayStagesTest, RefusesAParkedRequestOnceItIsTooLateToBegin) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -423,7 +424,7 @@
 }
 
 // If a client disconnects, its parked request is removed.
-TEST(GatewayStagesTest, ForgetsAParkedRequestWhoseClientLeft) {
+TEST(GatewayStagesTest, RemovesAParkedRequestWhoseClientDisconnected) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
   rig.wait.in_time.fill(3 * kSecond);
@@ -435,8 +436,9 @@
   EXPECT_EQ(rig.core.in_progress(), 0U);
 }
 
-// During shutdown, clients on persistent connections are refused streams as not
-// run, because a stream could outlast the process and be cut off.
+// During shutdown, streams requested on persistent connections are refused,
+// with the verdict that they did not run, because a stream could outlast the
+// process and be cut off.
 TEST(GatewayDrainTest, RefusesStreamsThatWouldOutlastTheProcess) {
   GatewayRig rig;
   rig.AddReplica("e1", "engine");
@@ -466,7 +468,7 @@
 // An idempotent request is lost at the only replica, which may have run it, and
 // there is no other replica. The refusal must not state that the request did
 // not run.
-TEST(GatewayTest, DoesNotSayNotRunAfterATryThatMayHaveRun) {
+TEST(GatewayTest, DoesNotReportNotRunAfterAnAttemptThatMayHaveRun) {
   GatewayRig rig;
   rig.AddReplica("r1", "app");
   const ExchangeId id = rig.Call("repeat");
@@ -479,7 +481,7 @@
 // name, so nothing closes its old connections. An idempotent request is sent
 // again at once; a non-idempotent request is refused with the verdict that it
 // may have run.
-TEST(GatewayTest, EndsWhatAnIncarnationHadWhenItsReplicaStartsAgain) {
+TEST(GatewayTest, EndsTheAttemptsAtAPreviousIncarnation) {
   GatewayRig rig;
   rig.AddReplica({"r", 5}, "app");
   const ExchangeId once = rig.Call("plain");
--- a/tests/gateway/table_source_test.cc
+++ b/tests/gateway/table_source_test.cc
@@ -169,7 +169,7 @@
   EXPECT_FALSE(rig.answers[0].known_after);
 }
 
-// The relay answers in time but its data become old: it does not reach the
+// The relay answers in time but its table becomes old: it does not reach the
 // store and has not noticed.
 TEST(TableSourceTest, ReplacesARelayWhoseDataAreOld) {
   SourceRig rig;
@@ -266,7 +266,7 @@
   rig.Reply(history_gone);
   EXPECT_TRUE(rig.answers.empty());
   ASSERT_EQ(rig.store_request_count, 1);
-  EXPECT_FALSE(rig.store_requests.back().query.whole);
+  EXPECT_FALSE(rig.store_requests.back().query.complete_table);
   EXPECT_EQ(rig.store_requests.back().query.after, 5U);
   EXPECT_EQ(rig.store_requests.back().query.wait, 0);
   rig.AnswerFromStore({});
