--- a/src/coordination/stages/local_piece_dispatcher.cc
+++ b/src/coordination/stages/local_piece_dispatcher.cc
@@ -28,18 +28,18 @@
 }
 
 void LocalPieceDispatcher::Submit(TimeUs now, std::vector<PieceTask> tasks) {
-  std::set<PieceBatcher*> touched;
+  std::set<PieceBatcher*> batchers_to_dispatch;
   for (PieceTask& task : tasks) {
     const auto it = batchers_.find(task.service);
     if (it == batchers_.end()) {
       output_->OnPiece({task.key, PieceOutcome::kNotMade, ""});
     } else {
       it->second->Add(now, std::move(task));
-      touched.insert(it->second.get());
+      batchers_to_dispatch.insert(it->second.get());
     }
   }
-  // Only after all of them, so that they share a call.
-  for (PieceBatcher* batcher : touched) {
+  // Dispatches only after all pieces were added, so that they can share a call.
+  for (PieceBatcher* batcher : batchers_to_dispatch) {
     batcher->Dispatch(now);
   }
 }
@@ -54,13 +54,14 @@
   for (const auto& handle : handles) {
     const ReplicaEntry* producer = directory_->ProducerOf(handle);
     if (producer != nullptr) {
-      FreeOf(producer->service, {handle});
+      FreeForService(producer->service, {handle});
     }
   }
 }
 
-void LocalPieceDispatcher::FreeOf(const std::string& service,
-                                  const std::vector<std::string>& handles) {
+void LocalPieceDispatcher::FreeForService(
+    const std::string& service,
+    const std::vector<std::string>& handles) {
   if (const auto it = batchers_.find(service); it != batchers_.end()) {
     it->second->Free(handles);
   }
@@ -77,9 +78,10 @@
   return it == batchers_.end() ? QueueWait{} : it->second->ExpectedWait(now);
 }
 
-double LocalPieceDispatcher::MemoryHeld(const std::string& service) const {
+double LocalPieceDispatcher::MemoryShareInUse(
+    const std::string& service) const {
   const auto it = batchers_.find(service);
-  return it == batchers_.end() ? 0 : it->second->MemoryHeld();
+  return it == batchers_.end() ? 0 : it->second->MemoryShareInUse();
 }
 
 void LocalPieceDispatcher::OnCallEnd(TimeUs now,
--- a/src/coordination/stages/local_piece_dispatcher.h
+++ b/src/coordination/stages/local_piece_dispatcher.h
@@ -1,4 +1,4 @@
-// Makes all pieces by this process's own batchers, one a service.
+// Runs all pieces through this process's own batchers, one per service.
 #ifndef ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DISPATCHER_H_
 #define ACACIACHUTE_SRC_COORDINATION_STAGES_LOCAL_PIECE_DISPATCHER_H_
 
@@ -21,17 +21,17 @@
                        PieceBatcherOutput* output,
                        RetryBudgetOf budget_of);
 
-  // Services that are no longer listed keep their batcher until it is idle.
+  // A service that is no longer listed keeps its batcher.
   void SetServices(const ServingConfig& config);
 
   void Submit(TimeUs now, std::vector<PieceTask> tasks) override;
   void Drop(const std::string& request) override;
   void Free(const std::vector<std::string>& handles) override;
-  void FreeOf(const std::string& service,
-              const std::vector<std::string>& handles);
+  void FreeForService(const std::string& service,
+                      const std::vector<std::string>& handles);
   QueueWait ExpectedWait(TimeUs now, const std::string& service) const override;
-  // See `PieceBatcher::MemoryHeld`.
-  double MemoryHeld(const std::string& service) const;
+  // See `PieceBatcher::MemoryShareInUse`.
+  double MemoryShareInUse(const std::string& service) const;
 
   void OnCallEnd(TimeUs now,
                  const std::string& service,
@@ -43,7 +43,7 @@
   const std::map<std::string, std::unique_ptr<PieceBatcher>>& batchers() const {
     return batchers_;
   }
-  // Whether any piece waits or is being made.
+  // Whether no piece is queued or running.
   bool Idle() const;
 
  private:
--- a/src/coordination/stages/stage_replicas.cc
+++ b/src/coordination/stages/stage_replicas.cc
@@ -13,9 +13,11 @@
 }
 
 double StageReplicas::SlownessOf(TimeUs now, const ReplicaState& state) {
-  const double age = static_cast<double>(now - state.measured_at) /
-                     static_cast<double>(kForget);
-  return 1 + (state.slowness - 1) * std::exp(-std::max(0.0, age));
+  const double age_in_decay_times =
+      static_cast<double>(now - state.measured_at) /
+      static_cast<double>(kSlownessDecayTime);
+  return 1 +
+         (state.slowness - 1) * std::exp(-std::max(0.0, age_in_decay_times));
 }
 
 const StageReplicas::ReplicaState* StageReplicas::Find(
@@ -30,10 +32,10 @@
 }
 
 DurationUs StageReplicas::CallTime(double slowness, std::size_t pieces) const {
-  const auto plain =
+  const auto normal =
       static_cast<double>(limits_.call) +
       static_cast<double>(limits_.piece) * static_cast<double>(pieces);
-  return static_cast<DurationUs>(slowness * plain);
+  return static_cast<DurationUs>(slowness * normal);
 }
 
 bool StageReplicas::InEvacuatedDomain(const std::string& handle) const {
@@ -41,12 +43,12 @@
   return producer != nullptr && directory_->IsEvacuated(producer->domain);
 }
 
-std::vector<const ReplicaEntry*> StageReplicas::Free(TimeUs now) {
+std::vector<const ReplicaEntry*> StageReplicas::FreeReplicas(TimeUs now) {
   std::vector<std::pair<double, const ReplicaEntry*>> found;
   for (const ReplicaEntry* it : All()) {
     const ReplicaState& state = states_[it->id];
     if (state.calls < limits_.slots && state.overdue <= limits_.queue &&
-        now >= state.shunned_until && now >= state.full_until) {
+        now >= state.backoff_until && now >= state.out_of_memory_until) {
       found.emplace_back(SlownessOf(now, state), it);
     }
   }
@@ -60,46 +62,48 @@
   return free;
 }
 
-bool StageReplicas::WorthIt(TimeUs now,
-                            const ReplicaEntry& replica,
-                            std::size_t waiting) {
-  const double own = Slowness(now, replica.id);
-  if (own < kSound) {
+bool StageReplicas::ShouldUse(TimeUs now,
+                              const ReplicaEntry& replica,
+                              std::size_t waiting) {
+  const double slowness = Slowness(now, replica.id);
+  if (slowness < kSlowThreshold) {
     return true;
   }
-  std::size_t sound = 0;
+  std::size_t normal_replicas = 0;
   DurationUs first_free = 0;
   for (const ReplicaEntry* it : All()) {
     const ReplicaState& state = states_[it->id];
-    if (it->id == replica.id || now < state.shunned_until ||
-        SlownessOf(now, state) >= kSound) {
+    if (it->id == replica.id || now < state.backoff_until ||
+        SlownessOf(now, state) >= kSlowThreshold) {
       continue;
     }
     const DurationUs wait = state.calls < limits_.slots
                                 ? 0
                                 : std::max<DurationUs>(0, state.free_at - now);
-    first_free = sound == 0 ? wait : std::min(first_free, wait);
-    ++sound;
+    first_free = normal_replicas == 0 ? wait : std::min(first_free, wait);
+    ++normal_replicas;
   }
-  if (sound == 0) {
+  if (normal_replicas == 0) {
     return true;
   }
-  const std::size_t rounds = waiting / (sound * limits_.batch) + 1;
-  const DurationUs others =
+  const std::size_t rounds = waiting / (normal_replicas * limits_.batch) + 1;
+  const DurationUs others_done =
       first_free + static_cast<DurationUs>(rounds) * CallTime(1, limits_.batch);
-  return CallTime(own, std::min<std::size_t>(waiting, limits_.batch)) < others;
+  return CallTime(slowness, std::min<std::size_t>(waiting, limits_.batch)) <
+         others_done;
 }
 
-bool StageReplicas::IsShunned(TimeUs now, const ReplicaId& id) const {
+bool StageReplicas::InBackoff(TimeUs now, const ReplicaId& id) const {
   const ReplicaState* state = Find(id);
-  return state != nullptr && now < state->shunned_until;
+  return state != nullptr && now < state->backoff_until;
 }
 
-StageReplicas::FirstFree StageReplicas::WhenFree(TimeUs now,
-                                                 DurationUs most) const {
-  FirstFree first{0, most};
+StageReplicas::Availability StageReplicas::NextAvailability(
+    TimeUs now,
+    DurationUs max_wait) const {
+  Availability first{0, max_wait};
   for (const ReplicaEntry* it : All()) {
-    if (IsShunned(now, it->id)) {
+    if (InBackoff(now, it->id)) {
       continue;
     }
     ++first.replicas;
@@ -144,25 +148,26 @@
   if (calls > 0) {
     --calls;
   }
-  Release(id, call.bytes);
+  Release(id, call.result_bytes);
   if (end == End::kLost) {
     return;
   }
   if (end == End::kFailed) {
-    state.shunned_until = now + state.shun;
-    state.shun = std::min(kMostShun, 2 * state.shun);
+    state.backoff_until = now + state.backoff;
+    state.backoff = std::min(kMaxFailureBackoff, 2 * state.backoff);
     return;
   }
-  state.shun = kShun;
+  state.backoff = kFailureBackoff;
   const double measured = static_cast<double>(now - call.started) /
                           static_cast<double>(call.expected);
   const double before = SlownessOf(now, state);
-  state.slowness = std::max(1.0, before + kNewest * (measured - before));
+  state.slowness =
+      std::max(1.0, before + kNewestCallWeight * (measured - before));
   state.measured_at = now;
 }
 
 void StageReplicas::OnOutOfMemory(TimeUs now, const ReplicaId& id) {
-  states_[id].full_until = now + kFullFor;
+  states_[id].out_of_memory_until = now + kOutOfMemoryBackoff;
 }
 
 std::uint64_t StageReplicas::HeldBytes(const ReplicaId& id) const {
@@ -180,40 +185,40 @@
   }
 }
 
-void StageReplicas::Hold(TimeUs now,
-                         const ReplicaId& id,
-                         const std::string& handle,
-                         std::uint64_t bytes) {
-  held_[handle] = {id, bytes, now + limits_.result_life};
+void StageReplicas::AddResult(TimeUs now,
+                              const ReplicaId& id,
+                              const std::string& handle,
+                              std::uint64_t bytes) {
+  results_[handle] = {id, bytes, now + limits_.result_lifetime};
   Reserve(id, bytes);
 }
 
-void StageReplicas::Forget(const std::string& handle) {
-  if (const auto it = held_.find(handle); it != held_.end()) {
+void StageReplicas::RemoveResult(const std::string& handle) {
+  if (const auto it = results_.find(handle); it != results_.end()) {
     Release(it->second.producer, it->second.bytes);
-    held_.erase(it);
+    results_.erase(it);
   }
 }
 
-void StageReplicas::ForgetLapsed(TimeUs now) {
-  for (auto it = held_.begin(); it != held_.end();) {
-    if (now < it->second.until) {
+void StageReplicas::RemoveExpiredResults(TimeUs now) {
+  for (auto it = results_.begin(); it != results_.end();) {
+    if (now < it->second.expires_at) {
       ++it;
       continue;
     }
     Release(it->second.producer, it->second.bytes);
-    it = held_.erase(it);
+    it = results_.erase(it);
   }
 }
 
-double StageReplicas::MemoryHeld() const {
+double StageReplicas::MemoryShareInUse() const {
   double held = 0;
   for (const ReplicaEntry* it : All()) {
     held += static_cast<double>(HeldBytes(it->id));
   }
-  const double room = static_cast<double>(limits_.result_memory_bytes) *
-                      static_cast<double>(All().size());
-  return room > 0 ? held / room : 0;
+  const double capacity = static_cast<double>(limits_.result_memory_bytes) *
+                          static_cast<double>(All().size());
+  return capacity > 0 ? held / capacity : 0;
 }
 
 }  // namespace acaciachute
--- a/tests/gateway/shared_piece_dispatcher_test.cc
+++ b/tests/gateway/shared_piece_dispatcher_test.cc
@@ -1,4 +1,4 @@
-// Gateways that batch for one another, and what happens when one is lost.
+// Tests gateways that batch for one another, and what happens when one is lost.
 #include "coordination/stages/shared_piece_dispatcher.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,8 @@
 namespace acaciachute {
 namespace {
 
-// Some gateways with one directory, whose messages arrive when `Deliver` runs.
+// Several gateways with the same replicas, whose messages arrive when `Deliver`
+// runs.
 struct DispatcherNet {
   struct Node : SharedPieceDispatcherOutput,
                 PieceBatcherOutput,
@@ -32,10 +33,10 @@
       directory.Put(entry);
     }
     void SendToPeer(const NodeId& peer, const Message& message) override {
-      net->wire.push_back({name, peer, message});
+      net->in_flight.push_back({name, peer, message});
     }
     void OnOwnPiece(const PieceResult& result) override {
-      got.push_back(result);
+      received.push_back(result);
     }
     void StartCall(const PieceCall& call) override { calls.push_back(call); }
     void OnPiece(const PieceResult& result) override {
@@ -44,22 +45,23 @@
     bool ShortOfMemory(const std::vector<std::string>&) override {
       return true;
     }
-    void OnInputsRead(const std::vector<std::string>& list) override {
-      dispatcher.Free(list);
+    void OnInputsRead(const std::vector<std::string>& released) override {
+      dispatcher.Free(released);
     }
-    void FreeAt(const Address&, const std::vector<std::string>& list) override {
-      freed.insert(freed.end(), list.begin(), list.end());
+    void FreeAt(const Address&,
+                const std::vector<std::string>& released) override {
+      freed.insert(freed.end(), released.begin(), released.end());
     }
     void OnReplica(const ReplicaEntry&, DirectoryChange) override {}
-    void Take(const NodeId& from, const Message& message, TimeUs now) {
+    void Handle(const NodeId& from, const Message& message, TimeUs now) {
       if (const auto* it = std::get_if<PieceTasks>(&message)) {
         dispatcher.OnPeerTasks(now, from, *it);
       } else if (const auto* cancel = std::get_if<PieceCancel>(&message)) {
         dispatcher.OnPeerCancel(*cancel);
       } else if (const auto* release = std::get_if<PieceRelease>(&message)) {
         dispatcher.OnPeerRelease(*release);
-      } else if (const auto* list = std::get_if<PieceResults>(&message)) {
-        dispatcher.OnPeerResults(*list);
+      } else if (const auto* results = std::get_if<PieceResults>(&message)) {
+        dispatcher.OnPeerResults(*results);
       }
     }
 
@@ -74,10 +76,10 @@
     SharedPieceDispatcher dispatcher{name,       &peers, &local,
                                      &directory, this,   &log};
     std::vector<PieceCall> calls;
-    std::vector<PieceResult> got;
+    std::vector<PieceResult> received;
     std::vector<std::string> freed;
   };
-  struct Letter {
+  struct InFlightMessage {
     NodeId from;
     NodeId to;
     Message message;
@@ -104,15 +106,15 @@
   }
   Node& At(const NodeId& name) { return *nodes.at(name); }
   void Deliver() {
-    while (!wire.empty()) {
-      const Letter letter = wire.front();
-      wire.erase(wire.begin());
-      if (!lost.contains(letter.to)) {
-        At(letter.to).Take(letter.from, letter.message, now);
+    while (!in_flight.empty()) {
+      const InFlightMessage next = in_flight.front();
+      in_flight.erase(in_flight.begin());
+      if (!lost.contains(next.to)) {
+        At(next.to).Handle(next.from, next.message, now);
       }
     }
   }
-  void Pass(DurationUs time) {
+  void Advance(DurationUs time) {
     now += time;
     for (auto& [name, node] : nodes) {
       node->local.OnTick(now);
@@ -120,7 +122,7 @@
     }
     Deliver();
   }
-  void Make(Node* node, std::size_t call) {
+  void CompleteCall(Node* node, std::size_t call) {
     PieceCallEnd end;
     end.kind = PieceCallEnd::Kind::kAnswered;
     for (const PieceTask& it : node->calls.at(call).pieces) {
@@ -140,7 +142,7 @@
 
   TimeUs now = 1000 * kSecond;
   std::map<NodeId, std::unique_ptr<Node>> nodes;
-  std::vector<Letter> wire;
+  std::vector<InFlightMessage> in_flight;
   std::set<NodeId> lost;
   NodeId owner;
   NodeId other;
@@ -153,8 +155,8 @@
   }
 }
 
-// Pieces of two gateways that wait for the one replica share its next call, and
-// each result comes back to the gateway that asked.
+// Pieces of two gateways that wait for the only replica share its next call,
+// and each result is returned to the gateway that submitted the piece.
 TEST(SharedPieceDispatcherTest, BringsResultsToTheGatewayThatAsked) {
   DispatcherNet net(3);
   auto& owner = net.At(net.owner);
@@ -163,34 +165,34 @@
   owner.dispatcher.Submit(net.now, {DispatcherNet::Task("s")});
   net.Deliver();
   ASSERT_EQ(owner.calls.size(), 1U);
-  net.Make(&owner, 0);
+  net.CompleteCall(&owner, 0);
   ASSERT_EQ(owner.calls.size(), 2U);
   EXPECT_EQ(owner.calls[1].pieces.size(), 2U);
-  net.Make(&owner, 1);
-  net.Pass(10 * kMillisecond);
-  ASSERT_EQ(net.At(net.other).got.size(), 1U);
-  EXPECT_EQ(net.At(net.other).got[0].key.request, "r");
-  ASSERT_EQ(owner.got.size(), 2U);
-  EXPECT_EQ(owner.got[1].key.request, "s");
+  net.CompleteCall(&owner, 1);
+  net.Advance(10 * kMillisecond);
+  ASSERT_EQ(net.At(net.other).received.size(), 1U);
+  EXPECT_EQ(net.At(net.other).received[0].key.request, "r");
+  ASSERT_EQ(owner.received.size(), 2U);
+  EXPECT_EQ(owner.received[1].key.request, "s");
 }
 
-// Requests go on although the gateway that batches dies with their pieces: they
-// are handed to the next one at once.
-TEST(SharedPieceDispatcherTest, HandsPiecesOnWhenTheBatchingGatewayIsLost) {
+// Requests continue although the batching gateway dies with their pieces: the
+// pieces are sent to the next one at once.
+TEST(SharedPieceDispatcherTest, ResubmitsPiecesWhenTheBatchingGatewayIsLost) {
   DispatcherNet net(3);
   net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
   net.lost.insert(net.owner);
-  auto& asker = net.At(net.other);
-  asker.peers.OnUnreachable(net.now, net.owner);
-  asker.dispatcher.OnPeerLost(net.now, net.owner);
-  const NodeId next = asker.peers.OwnerOf("maker");
+  auto& requester = net.At(net.other);
+  requester.peers.OnUnreachable(net.now, net.owner);
+  requester.dispatcher.OnPeerLost(net.now, net.owner);
+  const NodeId next = requester.peers.OwnerOf("maker");
   ASSERT_NE(next, net.owner);
-  net.Pass(10 * kMillisecond);
+  net.Advance(10 * kMillisecond);
   ASSERT_EQ(net.At(next).calls.size(), 1U);
-  net.Make(&net.At(next), 0);
-  net.Pass(10 * kMillisecond);
-  EXPECT_EQ(asker.got.size(), 1U);
+  net.CompleteCall(&net.At(next), 0);
+  net.Advance(10 * kMillisecond);
+  EXPECT_EQ(requester.received.size(), 1U);
 }
 
 // A gateway that refuses connections is not tried in a loop: pieces go to a
@@ -198,75 +200,76 @@
 // later.
 TEST(SharedPieceDispatcherTest, DoesNotTryAnUnreachableGatewayAgainAtOnce) {
   DispatcherNet net(2);
-  auto& asker = net.At(net.other);
-  asker.peers.OnUnreachable(net.now, net.owner);
-  asker.peers.OnGatewayHeartbeat(net.now + kMillisecond, net.owner, 1, {});
-  EXPECT_EQ(asker.peers.OwnerOf("maker"), net.other);
-  asker.peers.OnGatewayHeartbeat(net.now + GatewayPeers::kUnreachable,
-                                 net.owner, 1, {});
-  EXPECT_EQ(asker.peers.OwnerOf("maker"), net.owner);
+  auto& requester = net.At(net.other);
+  requester.peers.OnUnreachable(net.now, net.owner);
+  requester.peers.OnGatewayHeartbeat(net.now + kMillisecond, net.owner, 1, {});
+  EXPECT_EQ(requester.peers.OwnerOf("maker"), net.other);
+  requester.peers.OnGatewayHeartbeat(
+      net.now + GatewayPeers::kUnreachableDuration, net.owner, 1, {});
+  EXPECT_EQ(requester.peers.OwnerOf("maker"), net.owner);
 }
 
-// A gateway that is paused with pieces in hand costs its peers' requests a wait
-// of `kPatience` at most; its late result is freed.
+// A gateway that is suspended with pieces in progress delays its peers'
+// requests by `kResultTimeout` at most; its late result is released.
 TEST(SharedPieceDispatcherTest, DoesNotWaitForASilentGatewayForEver) {
   DispatcherNet net(2);
-  auto& asker = net.At(net.other);
-  asker.dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
+  auto& requester = net.At(net.other);
+  requester.dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  net.now += SharedPieceDispatcher::kPatience + kMillisecond;
-  asker.peers.TakeLost(net.now);
-  asker.dispatcher.OnTick(net.now);
-  asker.local.OnTick(net.now);
-  ASSERT_EQ(asker.calls.size(), 1U);
-  net.Make(&asker, 0);
-  EXPECT_EQ(asker.got.size(), 1U);
-  asker.dispatcher.OnPeerResults(
+  net.now += SharedPieceDispatcher::kResultTimeout + kMillisecond;
+  requester.peers.TakeLost(net.now);
+  requester.dispatcher.OnTick(net.now);
+  requester.local.OnTick(net.now);
+  ASSERT_EQ(requester.calls.size(), 1U);
+  net.CompleteCall(&requester, 0);
+  EXPECT_EQ(requester.received.size(), 1U);
+  requester.dispatcher.OnPeerResults(
       {{{{"r", 0, 0}, PieceOutcome::kMade, "10.0.0.1:80/late"}}});
-  asker.local.OnTick(net.now);
-  EXPECT_EQ(asker.got.size(), 1U);
-  EXPECT_EQ(asker.freed, std::vector<std::string>{"10.0.0.1:80/late"});
+  requester.local.OnTick(net.now);
+  EXPECT_EQ(requester.received.size(), 1U);
+  EXPECT_EQ(requester.freed, std::vector<std::string>{"10.0.0.1:80/late"});
 }
 
-// Load: a burst, and a queue of three seconds at the gateway that batches, as
-// its heartbeats tell. Pieces are not handed to it again while they wait their
-// turn: that would double the messages of those that have the most to do.
-TEST(SharedPieceDispatcherTest, WaitsAsLongAsTheQueueThatItWasTold) {
+// In a burst, the batching gateway reports a queue of three seconds in its
+// heartbeats. Pieces are not sent again while they wait in that queue: that
+// would double the messages to the gateways with the highest load.
+TEST(SharedPieceDispatcherTest, WaitsAsLongAsTheReportedQueue) {
   DispatcherNet net(2);
-  auto& asker = net.At(net.other);
+  auto& requester = net.At(net.other);
   QueueWait wait;
   wait.late = 3 * kSecond;
-  asker.dispatcher.OnPeerQueueWaits({{DispatcherNet::Task("r").service, wait}});
-  asker.dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
+  requester.dispatcher.OnPeerQueueWaits(
+      {{DispatcherNet::Task("r").service, wait}});
+  requester.dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
-  asker.log.events.clear();
-  net.now += SharedPieceDispatcher::kPatience + kSecond;
-  asker.dispatcher.OnTick(net.now);
-  EXPECT_FALSE(asker.log.Saw("pieces_again"));
+  requester.log.events.clear();
+  net.now += SharedPieceDispatcher::kResultTimeout + kSecond;
+  requester.dispatcher.OnTick(net.now);
+  EXPECT_FALSE(requester.log.Saw("pieces_again"));
   net.now += 2 * kSecond + kMillisecond;
-  asker.dispatcher.OnTick(net.now);
-  EXPECT_TRUE(asker.log.Saw("pieces_again"));
+  requester.dispatcher.OnTick(net.now);
+  EXPECT_TRUE(requester.log.Saw("pieces_again"));
 }
 
-TEST(SharedPieceDispatcherTest, DropsWhatNobodyWaitsForAnyLonger) {
+TEST(SharedPieceDispatcherTest, CancelsPiecesOfAnEndedRequest) {
   DispatcherNet net(2);
   net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
   net.At(net.other).dispatcher.Drop("r");
   net.Deliver();
-  EXPECT_TRUE(net.At(net.owner).dispatcher.ServesNobody());
+  EXPECT_TRUE(net.At(net.owner).dispatcher.HasNoPeerRequests());
   EXPECT_TRUE(net.At(net.owner).local.Idle() ||
               net.At(net.owner).calls.size() == 1);
 }
 
-// Pieces of a gateway that died are not made for nobody.
+// Pieces of a gateway that died are cancelled.
 TEST(SharedPieceDispatcherTest, ForgetsTheRequestsOfALostGateway) {
   DispatcherNet net(2);
   auto& owner = net.At(net.owner);
   net.At(net.other).dispatcher.Submit(net.now, {DispatcherNet::Task("r")});
   net.Deliver();
   owner.dispatcher.OnPeerLost(net.now, net.other);
-  EXPECT_TRUE(owner.dispatcher.ServesNobody());
+  EXPECT_TRUE(owner.dispatcher.HasNoPeerRequests());
 }
 
 TEST(GatewayPeersTest, TakesASilentOrRestartedGatewayForLost) {
@@ -275,17 +278,17 @@
   const TimeUs now = 100 * kSecond;
   peers.OnGatewayHeartbeat(now, "a", 1, {});
   peers.OnGatewayHeartbeat(now, "b", 1, {});
-  EXPECT_EQ(peers.Live(), 3U);
-  EXPECT_TRUE(peers.TakeLost(now + GatewayPeers::kSilent).empty());
-  peers.OnGatewayHeartbeat(now + GatewayPeers::kSilent, "b", 2, {});
-  EXPECT_EQ(peers.TakeLost(now + GatewayPeers::kSilent + 1),
+  EXPECT_EQ(peers.LiveCount(), 3U);
+  EXPECT_TRUE(peers.TakeLost(now + GatewayPeers::kPeerTimeout).empty());
+  peers.OnGatewayHeartbeat(now + GatewayPeers::kPeerTimeout, "b", 2, {});
+  EXPECT_EQ(peers.TakeLost(now + GatewayPeers::kPeerTimeout + 1),
             (std::vector<NodeId>{"a", "b"}));
-  EXPECT_EQ(peers.Live(), 2U);
+  EXPECT_EQ(peers.LiveCount(), 2U);
 }
 
-// Guards against: a gateway that was suspended takes all others for silent and
-// does again what they have in hand.
-TEST(GatewayPeersTest, NobodyIsSilentWhileThisGatewayDidNotRun) {
+// Guards against a gateway that, after a suspension, takes all others for dead
+// and repeats their work.
+TEST(GatewayPeersTest, NoPeerIsLostWhileThisGatewayDidNotRun) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
@@ -296,7 +299,7 @@
   peers.OnTick(now);
   EXPECT_TRUE(peers.TakeLost(now).empty());
   EXPECT_TRUE(log.Saw("suspended"));
-  // One of them died meanwhile.
+  // One of them died during the suspension.
   peers.OnGatewayHeartbeat(now + kSecond / 10, "a", 1, {});
   std::vector<NodeId> lost;
   const TimeUs resumed = now;
@@ -305,11 +308,12 @@
     lost = peers.TakeLost(now);
   }
   EXPECT_EQ(lost, std::vector<NodeId>{"b"});
-  EXPECT_LE(now - resumed, GatewayPeers::kSilent);
+  EXPECT_LE(now - resumed, GatewayPeers::kPeerTimeout);
 }
 
-// Guards against: a heartbeat that is read before the first look counts for as
-// much longer as the suspension took.
+// Guards against a heartbeat that is read before the first tick after a
+// suspension and then counts as if it had arrived later by the duration of the
+// suspension.
 TEST(GatewayPeersTest, AHeartbeatReadAfterASuspensionIsOfThatMoment) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
@@ -318,13 +322,13 @@
   now += 10 * kSecond;
   peers.OnGatewayHeartbeat(now, "a", 1, {});
   peers.OnTick(now);
-  now += GatewayPeers::kSilent + 1;
+  now += GatewayPeers::kPeerTimeout + 1;
   EXPECT_EQ(peers.TakeLost(now), std::vector<NodeId>{"a"});
 }
 
-// A host that is so short of its processor that each look comes late still
-// notices, if later.
-TEST(GatewayPeersTest, ASlowHostStillNoticesWhoIsSilent) {
+// A host that is so short of processor time that every tick is late still
+// detects lost gateways, only later.
+TEST(GatewayPeersTest, ASlowHostStillDetectsLostPeers) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
   TimeUs now = 100 * kSecond;
@@ -332,15 +336,15 @@
   peers.OnGatewayHeartbeat(now, "a", 1, {});
   std::vector<NodeId> lost;
   for (int n = 0; n < 10 && lost.empty(); ++n) {
-    now += 2 * GatewayPeers::kLongestTurn;
+    now += 2 * GatewayPeers::kMaxTickInterval;
     peers.OnTick(now);
     lost = peers.TakeLost(now);
   }
   EXPECT_EQ(lost, std::vector<NodeId>{"a"});
 }
 
-// Load: 30 gateways that all tell all others. Those for whom nobody waits tell
-// less often, and are given as much longer before they are taken for lost.
+// 30 gateways send heartbeats to all others. Those that do not batch send
+// fewer, and have a proportionally longer time limit before they count as lost.
 TEST(GatewayPeersTest, SendsHeartbeatsLessOftenAmongMany) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
@@ -348,16 +352,18 @@
   for (int n = 0; n < 6; ++n) {
     peers.OnGatewayHeartbeat(now, "p" + std::to_string(n), 1, {});
   }
-  EXPECT_EQ(peers.Period(false), GatewayPeers::kGatewayHeartbeatPeriod);
+  EXPECT_EQ(peers.HeartbeatPeriod(false),
+            GatewayPeers::kGatewayHeartbeatPeriod);
   for (int n = 6; n < 30; ++n) {
     peers.OnGatewayHeartbeat(now, "p" + std::to_string(n), 1, {});
   }
-  EXPECT_EQ(peers.Period(true), GatewayPeers::kGatewayHeartbeatPeriod);
-  const DurationUs slow = peers.Period(false);
+  EXPECT_EQ(peers.HeartbeatPeriod(true), GatewayPeers::kGatewayHeartbeatPeriod);
+  const DurationUs slow = peers.HeartbeatPeriod(false);
   EXPECT_EQ(slow, 5 * GatewayPeers::kGatewayHeartbeatPeriod);
   EXPECT_EQ(peers.DueHeartbeats(now, slow).size(), 30U);
   EXPECT_TRUE(peers.DueHeartbeats(now + slow - 1, slow).empty());
-  // One that begins to batch tells at its new rate at once.
+  // A gateway that begins to batch sends heartbeats with the shorter period at
+  // once.
   EXPECT_EQ(peers
                 .DueHeartbeats(now + GatewayPeers::kGatewayHeartbeatPeriod,
                                GatewayPeers::kGatewayHeartbeatPeriod)
@@ -372,8 +378,8 @@
   GatewayHeartbeat slow;
   slow.period = 5 * GatewayPeers::kGatewayHeartbeatPeriod;
   peers.OnGatewayHeartbeat(now, "slow", 1, slow);
-  EXPECT_TRUE(peers.TakeLost(now + 4 * GatewayPeers::kSilent).empty());
-  EXPECT_EQ(peers.TakeLost(now + 6 * GatewayPeers::kSilent).size(), 1U);
+  EXPECT_TRUE(peers.TakeLost(now + 4 * GatewayPeers::kPeerTimeout).empty());
+  EXPECT_EQ(peers.TakeLost(now + 6 * GatewayPeers::kPeerTimeout).size(), 1U);
 }
 
 TEST(GatewayPeersTest, KnowsWhetherAnotherMayCheckKeys) {
@@ -388,8 +394,8 @@
   EXPECT_FALSE(peers.AnyPeerCanCheckKeys());
 }
 
-// Who batches is remembered between requests; a change of the gateways that
-// live, or of their processors, is a change of it at once.
+// The batching gateway is cached between requests. A change of the live
+// gateways, or of their processor shares, takes effect at once.
 TEST(GatewayPeersTest, FollowsChangesOfWhoBatches) {
   QuietLog log;
   GatewayPeers peers({"self", "", 0.01}, &log);
@@ -412,10 +418,9 @@
   EXPECT_EQ(peers.OwnerOf("s"), "self");
 }
 
-// Load: 8 large hosts beside 15 that have a fifth of their processor. No
-// service is batched by a small one, where its requests would queue for the
-// processor, whatever its name is; when the large ones are gone the small ones
-// do it.
+// With 8 large hosts and 15 that have a fifth of their processor share, no
+// service of any name is batched by a small host, where its requests would
+// queue for the processor. When the large hosts leave, the small ones batch.
 TEST(GatewayPeersTest, LeavesBatchingToLargeHosts) {
   QuietLog log;
   GatewayPeers peers({"small-0", "", 0.09}, &log);
@@ -441,7 +446,7 @@
   EXPECT_EQ(peers.OwnerOf("service-1").substr(0, 5), "small");
 }
 
-// A gateway that leaves still finishes what it has, but gets no new pieces.
+// A leaving gateway finishes the pieces it has but gets no new ones.
 TEST(GatewayPeersTest, GivesALeavingGatewayNoNewWork) {
   QuietLog log;
   GatewayPeers peers({"self", "", 1}, &log);
--- a/tests/gateway/store_requests_test.cc
+++ b/tests/gateway/store_requests_test.cc
@@ -1,4 +1,4 @@
-// Requests to the store that are in progress at once.
+// Tests requests to the store that are in flight at the same time.
 #include "coordination/tables/store_requests.h"
 
 #include <gtest/gtest.h>
@@ -9,24 +9,26 @@
 namespace {
 
 struct StoreRig : StoreReader {
-  void Ask(const StoreRequest& request) override { open.push_back(request.id); }
+  void Ask(const StoreRequest& request) override {
+    open_ids.push_back(request.id);
+  }
   void Forget(const std::string&, std::uint64_t id) override {
-    std::erase(open, id);
+    std::erase(open_ids, id);
   }
 
-  std::vector<std::uint64_t> open;
+  std::vector<std::uint64_t> open_ids;
   StoreRequests requests{"t", this};
 };
 
-// A slow store answers the oldest first, and a request that was lost with its
-// connection must not keep the newest from being asked.
+// A slow store answers the oldest request first, and a request that was lost
+// with its connection must not keep the newest one from being sent.
 TEST(StoreRequestsTest, KeepsTheOldestAndTheNewest) {
   StoreRig rig;
   for (int n = 0; n < 10; ++n) {
     rig.requests.Ask(n * kSecond, {false, "", 5, 0});
-    EXPECT_LE(rig.open.size(), StoreRequests::kMost);
+    EXPECT_LE(rig.open_ids.size(), StoreRequests::kMaxInFlight);
   }
-  EXPECT_EQ(rig.open, (std::vector<std::uint64_t>{1, 9, 10}));
+  EXPECT_EQ(rig.open_ids, (std::vector<std::uint64_t>{1, 9, 10}));
   EXPECT_TRUE(rig.requests.Take(1));
   EXPECT_FALSE(rig.requests.Take(1));
   EXPECT_FALSE(rig.requests.Take(5));
@@ -39,23 +41,23 @@
   rig.requests.Ask(0, {false, "", 5, 0});
   ASSERT_NE(rig.requests.Awaited(), nullptr);
   EXPECT_EQ(rig.requests.Awaited()->id, 2U);
-  EXPECT_FALSE(rig.requests.GiveUp(kSecond - 1, kSecond));
-  const auto late = rig.requests.GiveUp(kSecond, kSecond);
+  EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond - 1, kSecond));
+  const auto late = rig.requests.TimeOutAwaited(kSecond, kSecond);
   ASSERT_TRUE(late);
   EXPECT_EQ(late->id, 2U);
   EXPECT_EQ(rig.requests.Awaited(), nullptr);
-  EXPECT_FALSE(rig.requests.GiveUp(kSecond, kSecond));
-  // Its answer is taken all the same, and so is the older one's.
+  EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond, kSecond));
+  // Its answer is still accepted, and so is that of the older request.
   EXPECT_TRUE(rig.requests.Take(2));
   EXPECT_TRUE(rig.requests.Take(1));
 }
 
-// What the store was asked to wait comes on top.
+// The time limit starts after the time for which the store holds the request.
 TEST(StoreRequestsTest, ARequestThatIsHeldHasItsWaitOnTop) {
   StoreRig rig;
   rig.requests.Ask(0, {false, "", 5, kSecond});
-  EXPECT_FALSE(rig.requests.GiveUp(kSecond, kSecond));
-  EXPECT_TRUE(rig.requests.GiveUp(2 * kSecond, kSecond));
+  EXPECT_FALSE(rig.requests.TimeOutAwaited(kSecond, kSecond));
+  EXPECT_TRUE(rig.requests.TimeOutAwaited(2 * kSecond, kSecond));
 }
 
 }  // namespace
